--- /dev/null
+++ b/crates/quota/tests/serialized_format.rs
@@ -0,0 +1,91 @@
+//! The serialized form of every message of this crate, against bytes that were written before.
+//!
+//! Gateways and control-plane processes of different builds exchange these messages, so a reordered field
+//! breaks a rolling upgrade. Each test builds the value itself, expects the recorded bytes and decodes them
+//! again. `BLESS_FIXTURES=1` records the bytes anew after an intended change.
+
+use std::fmt::Debug;
+use std::fs;
+use std::path::PathBuf;
+use std::time::Duration;
+
+use crankpick_quota::{Claim, Demand, Grant, GrantSource, HolderId, Lineage};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+
+/// The recorded text of a fixture; `written` is recorded first when that is asked for.
+fn recorded(name: &str, written: &str) -> String {
+    let path: PathBuf = [env!("CARGO_MANIFEST_DIR"), "tests", "fixtures", name].iter().collect();
+    if std::env::var_os("BLESS_FIXTURES").is_some() {
+        fs::write(&path, format!("{written}\n")).unwrap();
+    }
+    let text = fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
+    text.trim_end().to_owned()
+}
+
+fn to_hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn from_hex(text: &str) -> Vec<u8> {
+    let pairs = text.as_bytes().chunks(2);
+    pairs.map(|pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap()).collect()
+}
+
+/// Expects that `value` is written as the recorded bytes and is read back from them.
+fn assert_message<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
+    let mut bytes = Vec::new();
+    rmp_serde::encode::write(&mut bytes, value).unwrap();
+    let written = to_hex(&bytes);
+    let expected = recorded(&format!("{name}.hex"), &written);
+    assert_eq!(written, expected, "{name}: written in another form");
+    let decoded: T = rmp_serde::from_slice(&from_hex(&expected)).unwrap();
+    assert_eq!(&decoded, value, "{name}: read as another value");
+}
+
+/// Each field has a value of its own.
+const LINEAGE: Lineage = Lineage { token: 7 << 20, nonce: 0x1234_5678_9abc_def0 };
+const CLAIM: Claim = Claim {
+    token: 7_340_033,
+    number: 41,
+    rate: 274.5,
+    burst: 1_024.25,
+    debt: 12.125,
+    left: Duration::new(3, 250_000_000),
+};
+const DEMAND: Demand =
+    Demand { rate: 310.5, need: 60_000.0, level: -4.75, returned: 2.5, claim: Some(CLAIM) };
+const GRANT: Grant = Grant {
+    source: GrantSource(5),
+    token: 7_340_034,
+    lineage: LINEAGE,
+    number: 42,
+    rate: 275.5,
+    burst: 1_025.25,
+    debt: 13.125,
+    credit: 600.5,
+    valid_for: Duration::new(4, 750_000_000),
+};
+
+#[test]
+fn identifiers_keep_their_form() {
+    assert_message("holder-id", &HolderId(0x1234_5678_9abc_def0));
+    assert_message("grant-source-owner", &GrantSource::OWNER);
+    assert_message("grant-source-home", &GrantSource::home(5));
+    assert_message("lineage", &LINEAGE);
+}
+
+#[test]
+fn demands_keep_their_form() {
+    assert_message("claim", &CLAIM);
+    assert_message("demand", &DEMAND);
+    assert_message("demand-without-claim", &Demand { claim: None, ..DEMAND });
+    assert_message("demand-default", &Demand::default());
+}
+
+#[test]
+fn grants_keep_their_form() {
+    assert_message("grant", &GRANT);
+    let nothing = Grant { rate: 0.0, burst: 0.0, debt: 0.0, credit: 0.0, valid_for: Duration::ZERO, ..GRANT };
+    assert_message("grant-of-nothing", &nothing);
+}
