--- /dev/null
+++ b/crates/control/tests/serialized_form.rs
@@ -0,0 +1,322 @@
+//! What replicas send and store keeps its bytes: files and processes of the version before read them.
+//!
+//! Each line of a fixture file is a name and the bytes in hex, written by the code of the first commit of this test.
+//! To add a line for a new variant, run with `BLESS_FIXTURES=1` and read the difference before committing it.
+
+use std::fmt::Debug;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use crankpick_control::{
+    Accept, Append, Ballot, Body, CatchUp, CaughtUp, Change, Commit, Echo, Entry, EntryId, Forward,
+    ForwardAnswer, Heartbeat, Hello, Install, Member, MemberId, Message, Nack, Order, Outcome, Prepare,
+    Promise, Rank, Record, RecordBody, Sender, Snapshot, Transfer, View,
+};
+use serde::{de::DeserializeOwned, Serialize};
+
+/// One value of each variant, under the name that its line in the fixture file has.
+type Samples<T> = Vec<(&'static str, T)>;
+
+fn address(last: u8) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, last], 7000 + u16::from(last)))
+}
+
+fn member(number: u8, durable: bool) -> Member {
+    Member {
+        id: MemberId(0x0102_0304_0506_0700 + u64::from(number)),
+        address: address(number),
+        zone: format!("zone-{number}"),
+        durable,
+    }
+}
+
+fn entry_id(epoch: u64, position: u64) -> EntryId {
+    EntryId { epoch, position }
+}
+
+fn ballot(counter: u64) -> Ballot {
+    Ballot { counter, proposer: MemberId(0xa1a2), incarnation: 0xb1b2_b3b4_b5b6_b7b8 }
+}
+
+fn view(epoch: u64) -> View {
+    View {
+        epoch,
+        members: vec![member(1, true), member(2, true), member(3, false)],
+        chain: vec![member(2, true).id, member(1, true).id],
+        start: entry_id(3, 17),
+    }
+}
+
+fn order() -> Arc<Order> {
+    Arc::new(Order { if_match: 41, generation: 42, digest: 0x1122_3344 << 90, bytes: vec![0, 1, 0x7f, 0xff] })
+}
+
+fn entry() -> Arc<Entry> {
+    Arc::new(Entry { id: entry_id(4, 18), order: order() })
+}
+
+fn change() -> Change {
+    Change { id: entry_id(4, 18), if_match: 41, generation: 42, digest: 0x1122_3344 << 90 }
+}
+
+fn transfer() -> Transfer {
+    Transfer {
+        complete: 4,
+        since: Some(entry_id(3, 17)),
+        changes: vec![change(), Change { id: entry_id(4, 19), if_match: 42, generation: 43, digest: 7 }],
+        newest: Some(entry()),
+    }
+}
+
+fn heartbeat() -> Heartbeat {
+    Heartbeat {
+        sent: Echo { incarnation: 71, sent: 72 },
+        heard: Some(Echo { incarnation: 73, sent: 74 }),
+        epoch: 5,
+        accepted: true,
+        sealed: false,
+        matched: true,
+        opened: false,
+        last: entry_id(4, 19),
+        committed: entry_id(4, 18),
+        disk_well: true,
+        leaving: false,
+        unreachable: 0b101,
+        committed_bytes: 4096,
+    }
+}
+
+fn outcomes() -> Samples<Outcome> {
+    let samples = vec![
+        ("Taken", Outcome::Taken),
+        ("Conflict", Outcome::Conflict { current: 42 }),
+        ("Invalid", Outcome::Invalid { current: 43 }),
+        ("Unclear", Outcome::Unclear),
+    ];
+    for (_, outcome) in &samples {
+        // A new variant needs a sample above: this match has no arm for the rest.
+        match outcome {
+            Outcome::Taken | Outcome::Conflict { .. } | Outcome::Invalid { .. } | Outcome::Unclear => {}
+        }
+    }
+    samples
+}
+
+fn record_bodies() -> Samples<RecordBody> {
+    let snapshot = Snapshot {
+        id: MemberId(9),
+        bootstrap: vec![address(1), address(2)],
+        view: view(5),
+        promised: Some(ballot(6)),
+        accepted: Some((ballot(5), view(6))),
+        matched: true,
+        complete: 4,
+        committed: entry_id(4, 18),
+        changes: vec![change()],
+        entries: vec![entry()],
+    };
+    let bare_snapshot = Snapshot {
+        id: MemberId(9),
+        bootstrap: Vec::new(),
+        view: View::default(),
+        promised: None,
+        accepted: None,
+        matched: false,
+        complete: 0,
+        committed: EntryId::default(),
+        changes: Vec::new(),
+        entries: Vec::new(),
+    };
+    vec![
+        ("Identity", RecordBody::Identity { id: MemberId(9), bootstrap: vec![address(1), address(2)] }),
+        ("Promised", RecordBody::Promised { epoch: 5, ballot: ballot(6) }),
+        ("Accepted", RecordBody::Accepted { epoch: 5, ballot: ballot(6), next: Box::new(view(6)) }),
+        ("Entered", RecordBody::Entered(Box::new(view(5)))),
+        ("Installed", RecordBody::Installed { epoch: 5, ballot: ballot(6), transfer: transfer() }),
+        ("Appended", RecordBody::Appended { entry: entry() }),
+        ("Committed", RecordBody::Committed(entry_id(4, 18))),
+        ("Snapshot", RecordBody::Snapshot(Box::new(snapshot))),
+        ("Snapshot-bare", RecordBody::Snapshot(Box::new(bare_snapshot))),
+        ("CaughtUp", RecordBody::CaughtUp { transfer: transfer() }),
+    ]
+}
+
+/// The number of variants of `RecordBody`; fails to compile when one is added, which needs a sample.
+fn record_variant(body: &RecordBody) -> usize {
+    match body {
+        RecordBody::Identity { .. } => 0,
+        RecordBody::Promised { .. } => 1,
+        RecordBody::Accepted { .. } => 2,
+        RecordBody::Entered(_) => 3,
+        RecordBody::Installed { .. } => 4,
+        RecordBody::Appended { .. } => 5,
+        RecordBody::Committed(_) => 6,
+        RecordBody::Snapshot(_) => 7,
+        RecordBody::CaughtUp { .. } => 8,
+    }
+}
+
+fn message_bodies() -> Samples<Body> {
+    let promise = Promise {
+        ballot: ballot(6),
+        zone: "zone-1".to_owned(),
+        rank: Rank { complete: 4, last: entry_id(4, 19) },
+        accepted: Some((ballot(5), view(6))),
+        state: Some(transfer()),
+    };
+    let bare_promise = Promise { accepted: None, state: None, ..promise.clone() };
+    let install = Install { ballot: ballot(6), view: view(5), transfer: transfer() };
+    let forward_answer = |outcome| Body::ForwardAnswer(ForwardAnswer { epoch: 5, key: 61, outcome });
+    let mut samples = vec![
+        ("Hello", Body::Hello(Hello { member: member(1, true), bootstrap: true, epoch: 5 })),
+        ("Join", Body::Join(member(3, false))),
+        ("Heartbeat", Body::Heartbeat(heartbeat())),
+        ("Heartbeat-first", Body::Heartbeat(Heartbeat { heard: None, ..heartbeat() })),
+        (
+            "Prepare",
+            Body::Prepare(Prepare {
+                ballot: ballot(6),
+                view: view(5),
+                rank: Rank { complete: 4, last: entry_id(4, 19) },
+            }),
+        ),
+        ("Promise", Body::Promise(Box::new(promise))),
+        ("Promise-bare", Body::Promise(Box::new(bare_promise))),
+        ("Install", Body::Install(Box::new(install))),
+        ("Installed", Body::Installed(ballot(6))),
+        ("Accept", Body::Accept(Box::new(Accept { ballot: ballot(6), view: view(5), next: view(6) }))),
+        ("Accepted", Body::Accepted(ballot(6))),
+        ("Nack", Body::Nack(Nack { refused: ballot(6), promised: ballot(7) })),
+        ("Decide", Body::Decide(Box::new(view(6)))),
+        ("Append", Body::Append(Append { epoch: 5, entry: entry(), committed: entry_id(3, 17) })),
+        ("Commit", Body::Commit(Commit { epoch: 5, committed: entry_id(4, 18) })),
+        ("Fetch", Body::Fetch),
+        ("Learn", Body::Learn(entry())),
+        ("Forward", Body::Forward(Forward { epoch: 5, key: 61, order: order() })),
+        ("CatchUp", Body::CatchUp(CatchUp { epoch: 5, last: entry_id(4, 19), known: entry_id(4, 18) })),
+        ("CaughtUp", Body::CaughtUp(Box::new(CaughtUp { epoch: 5, transfer: transfer() }))),
+        ("CaughtUp-empty", Body::CaughtUp(Box::new(CaughtUp { epoch: 5, transfer: Transfer::default() }))),
+    ];
+    let answers =
+        ["ForwardAnswer-Taken", "ForwardAnswer-Conflict", "ForwardAnswer-Invalid", "ForwardAnswer-Unclear"];
+    for (name, (_, outcome)) in answers.into_iter().zip(outcomes()) {
+        samples.push((name, forward_answer(outcome)));
+    }
+    samples
+}
+
+/// The number of variants of `Body`; fails to compile when one is added, which needs a sample.
+fn message_variant(body: &Body) -> usize {
+    match body {
+        Body::Hello(_) => 0,
+        Body::Join(_) => 1,
+        Body::Heartbeat(_) => 2,
+        Body::Prepare(_) => 3,
+        Body::Promise(_) => 4,
+        Body::Install(_) => 5,
+        Body::Installed(_) => 6,
+        Body::Accept(_) => 7,
+        Body::Accepted(_) => 8,
+        Body::Nack(_) => 9,
+        Body::Decide(_) => 10,
+        Body::Append(_) => 11,
+        Body::Commit(_) => 12,
+        Body::Fetch => 13,
+        Body::Learn(_) => 14,
+        Body::Forward(_) => 15,
+        Body::ForwardAnswer(_) => 16,
+        Body::CatchUp(_) => 17,
+        Body::CaughtUp(_) => 18,
+    }
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn unhex(text: &str) -> Vec<u8> {
+    assert!(text.len().is_multiple_of(2), "half a byte in {text}");
+    (0..text.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("fixtures hold hex digits"))
+        .collect()
+}
+
+/// Each line decodes to the sample of that name, which encodes to the line again; no line and no sample is left over.
+fn check<T>(file: &str, samples: Samples<T>)
+where
+    T: Serialize + DeserializeOwned + PartialEq + Debug,
+{
+    let path = format!("{}/tests/fixtures/{file}", env!("CARGO_MANIFEST_DIR"));
+    let encode = |value: &T| rmp_serde::to_vec(value).expect("samples can be encoded");
+    if std::env::var_os("BLESS_FIXTURES").is_some() {
+        let lines: String =
+            samples.iter().map(|(name, value)| format!("{name} {}\n", hex(&encode(value)))).collect();
+        std::fs::write(&path, lines).expect("fixture file can be written");
+    }
+    let text = std::fs::read_to_string(&path).expect("fixture file is there");
+    let lines: Vec<(&str, &str)> =
+        text.lines().map(|line| line.split_once(' ').expect("a name and bytes")).collect();
+    let names: Vec<&str> = lines.iter().map(|(name, _)| *name).collect();
+    assert_eq!(names, samples.iter().map(|(name, _)| *name).collect::<Vec<_>>(), "lines of {file}");
+    for ((name, digits), (_, value)) in lines.iter().zip(&samples) {
+        let decoded: T = rmp_serde::from_slice(&unhex(digits))
+            .unwrap_or_else(|error| panic!("{file}: {name} isn't read any more: {error}"));
+        assert_eq!(&decoded, value, "{file}: {name} is read as another value");
+        assert_eq!(&hex(&encode(value)), digits, "{file}: {name} is written as other bytes");
+    }
+}
+
+fn assert_all_sampled(variants: impl Iterator<Item = usize>, count: usize) {
+    let sampled: std::collections::BTreeSet<usize> = variants.collect();
+    assert_eq!(sampled, (0..count).collect(), "each variant has a sample");
+}
+
+#[test]
+fn records_keep_their_stored_bytes() {
+    let bodies = record_bodies();
+    assert_all_sampled(bodies.iter().map(|(_, body)| record_variant(body)), 9);
+    let records = bodies.into_iter().zip(101..);
+    check("records.hex", records.map(|((name, body), number)| (name, Record { number, body })).collect());
+}
+
+#[test]
+fn messages_keep_their_bytes() {
+    let bodies = message_bodies();
+    assert_all_sampled(bodies.iter().map(|(_, body)| message_variant(body)), 19);
+    let sender = Sender { id: MemberId(0xc1c2), address: address(1) };
+    let mut targets = [Some(MemberId(0xd1d2)), None].into_iter().cycle();
+    let messages = bodies.into_iter().map(|(name, body)| {
+        let target = targets.next().flatten();
+        (name, Message { sender, target, body })
+    });
+    check("messages.hex", messages.collect());
+}
+
+#[test]
+fn outcomes_keep_their_bytes() {
+    check("outcomes.hex", outcomes());
+}
+
+#[test]
+fn records_are_stored_as_the_fixtures_are() {
+    for (name, body) in record_bodies() {
+        let record = Record { number: 7, body };
+        let bytes = record.encode().expect("samples can be encoded");
+        assert_eq!(bytes, rmp_serde::to_vec(&record).expect("samples can be encoded"), "{name}");
+        assert_eq!(Record::decode(&bytes).expect("what was encoded can be decoded"), record, "{name}");
+    }
+}
+
+/// Members and heartbeats of versions before a field was added are read with the field's default.
+#[test]
+fn values_written_before_a_field_was_added_are_read() {
+    #[derive(Serialize)]
+    struct OldMember(MemberId, SocketAddr, String);
+    let old = OldMember(MemberId(5), address(5), "zone-5".to_owned());
+    let read: Member = rmp_serde::from_slice(&rmp_serde::to_vec(&old).expect("encodes")).expect("decodes");
+    assert_eq!(
+        read,
+        Member { id: MemberId(5), address: address(5), zone: "zone-5".to_owned(), durable: true }
+    );
+}
