--- a/Makefile
+++ b/Makefile
@@ -9,6 +9,7 @@
 lint:
 	cargo fmt --all --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked
 
 format:
 	cargo fmt --all
