--- a/crates/control-plane/src/event.rs
+++ b/crates/control-plane/src/event.rs
@@ -198,3 +198,7 @@
         announcements: Vec<Announcement>,
     },
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/wire.rs"]
+mod tests;
--- a/crates/control-plane/src/status.rs
+++ b/crates/control-plane/src/status.rs
@@ -108,3 +108,7 @@
     };
     serde_json::to_string(&status).unwrap_or_default()
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/status.rs"]
+mod tests;
--- /dev/null
+++ b/crates/control-plane/tests/unit/status.rs
@@ -0,0 +1,123 @@
+//! The keys of the status, by which operators and their tools read it.
+
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use crankpick_control::{Input, Options, Output, Outputs, Replica, Timing};
+use crankpick_registry::{ProcessId, Registry, RegistrySettings};
+use serde_json::Value;
+
+use super::{describe, Facts};
+use crate::redirector::Directions;
+
+const STATUS_KEYS: [&str; 18] = [
+    "address",
+    "backends",
+    "backends_settled",
+    "bearable_losses",
+    "epoch",
+    "freshness_ms",
+    "gateways",
+    "gateways_here",
+    "generation",
+    "in_chain",
+    "members",
+    "peers_up",
+    "tenants_owned",
+    "tolerated_losses",
+    "up_ms",
+    "violations",
+    "warnings",
+    "zone",
+];
+
+fn address() -> SocketAddr {
+    SocketAddr::from(([10, 1, 2, 3], 7500))
+}
+
+fn keys(value: &Value) -> Vec<&str> {
+    let keys: BTreeSet<&str> = value.as_object().unwrap().keys().map(String::as_str).collect();
+    keys.into_iter().collect()
+}
+
+/// A replica that is the only member of its core.
+fn only_member() -> Replica {
+    let options = Options {
+        address: address(),
+        zone: "zone-a".into(),
+        seeds: vec![address()],
+        bootstrap: true,
+        durable: true,
+        tolerate_nodes: 0,
+        tolerate_zones: 0,
+        entropy: 1,
+        timing: Timing::default(),
+    };
+    let mut outputs = Outputs::new();
+    let mut replica = Replica::restore(Duration::ZERO, options, Vec::new(), &mut outputs);
+    for turn in 0..1_000 {
+        let now = Duration::from_millis(20 * turn);
+        let mut inputs = vec![Input::Tick];
+        while let Some(input) = inputs.pop() {
+            replica.handle(now, input, &mut outputs);
+            inputs.extend(std::mem::take(&mut outputs).into_iter().filter_map(answer));
+        }
+    }
+    replica
+}
+
+/// What a host without peers answers to an output.
+fn answer(output: Output) -> Option<Input> {
+    match output {
+        Output::Persist { ticket, .. } => Some(Input::Persisted(ticket)),
+        Output::Send { to, message } if to == address() => Some(Input::Message(message)),
+        _ => None,
+    }
+}
+
+fn status() -> Value {
+    let settings = RegistrySettings::new(Duration::from_secs(1));
+    let text = describe(&Facts {
+        now: Duration::from_secs(20),
+        address: address(),
+        zone: "zone-a",
+        replica: &only_member(),
+        registry: &Registry::new(Duration::ZERO, ProcessId(9), settings),
+        generation: Some(42),
+        gateways: vec!["gateway-1".into()],
+        fleet_gateways: 2,
+        tenants_owned: 3,
+        peers_up: 4,
+        tolerated_losses: 5,
+    });
+    serde_json::from_str(&text).unwrap()
+}
+
+#[test]
+fn the_status_keeps_its_keys() {
+    let status = status();
+    println!("{status}");
+    assert_eq!(keys(&status), STATUS_KEYS);
+    assert_eq!(keys(&status["members"][0]), ["address", "in_chain", "zone"]);
+    assert_eq!(status["address"], "10.1.2.3:7500");
+    assert_eq!(status["zone"], "zone-a");
+    assert_eq!(status["up_ms"], 20_000);
+    assert_eq!(status["generation"], 42);
+    assert_eq!(status["gateways_here"][0], "gateway-1");
+    assert_eq!(status["gateways"], 2);
+    assert_eq!(status["tenants_owned"], 3);
+    assert_eq!(status["peers_up"], 4);
+    assert_eq!(status["tolerated_losses"], 5);
+    assert_eq!(status["warnings"][0], "CTL-302");
+}
+
+#[test]
+fn the_status_outside_the_core_keeps_its_keys() {
+    let directions =
+        Directions { redirects_to: Some(address()), epoch: 6, members: vec![address(), address()] };
+    assert_eq!(
+        serde_json::to_string(&directions).unwrap(),
+        r#"{"redirects_to":"10.1.2.3:7500","epoch":6,"members":["10.1.2.3:7500","10.1.2.3:7500"]}"#
+    );
+}
--- /dev/null
+++ b/crates/control-plane/tests/unit/wire.rs
@@ -0,0 +1,140 @@
+//! The bytes of messages between peers: those of earlier builds are read, and this build writes the same ones.
+
+use std::fs;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use crankpick_control::{Body, MemberId, Message, Sender};
+use crankpick_protocol::{encode, FrameReader, TenantDemand, TenantGrant};
+use crankpick_quota::{Claim, Demand, Grant, GrantSource, Lineage};
+use crankpick_registry::{
+    Announcement, Digest, GatewayId, GatewayRecord, Heartbeat, HeartbeatState, LoadedModel, ProcessId,
+    Registry, RegistrySettings,
+};
+
+use super::PeerPacket;
+
+/// Set to write the fixtures anew from this build, in place of comparing them.
+const BLESS: &str = "CRANKPICK_BLESS_FIXTURES";
+
+fn fixture(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+}
+
+fn to_hex(bytes: &[u8]) -> String {
+    let lines: Vec<String> =
+        bytes.chunks(32).map(|line| line.iter().map(|byte| format!("{byte:02x}")).collect()).collect();
+    lines.join("\n") + "\n"
+}
+
+fn from_hex(text: &str) -> Vec<u8> {
+    let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
+    let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap();
+    digits.chunks(2).map(byte).collect()
+}
+
+/// Compares the frame of a message with the fixture's, and what is read from the fixture with the message.
+async fn check_frame(name: &str, message: &PeerPacket) {
+    let written = encode(message).unwrap();
+    if std::env::var_os(BLESS).is_some() {
+        fs::write(fixture(name), to_hex(&written)).unwrap();
+    }
+    let frame = from_hex(&fs::read_to_string(fixture(name)).unwrap());
+    assert_eq!(to_hex(&written), to_hex(&frame), "{name}");
+    let read = FrameReader::new(&frame[..]).next::<PeerPacket>().await.unwrap().unwrap();
+    assert_eq!(format!("{read:?}"), format!("{message:?}"), "{name}");
+}
+
+fn address(last: u8) -> SocketAddr {
+    SocketAddr::from(([10, 1, 2, last], 7500))
+}
+
+fn heartbeat() -> Heartbeat {
+    Heartbeat {
+        service: "chat".into(),
+        address: address(4),
+        zone: "zone-d".into(),
+        generation: "v5".into(),
+        slots: 6,
+        state: HeartbeatState::Ready,
+        cold_left_ms: 0,
+        stage: "decode".into(),
+        models: vec![LoadedModel { name: "model".into(), generation: 2, loras: vec!["adapter".into()] }],
+        seq: 8,
+    }
+}
+
+fn backends() -> Announcement {
+    let settings = RegistrySettings::new(Duration::from_secs(1));
+    let mut registry = Registry::new(Duration::ZERO, ProcessId(9), settings);
+    let heard = registry.heartbeat(Duration::from_secs(1), "backend-1", heartbeat()).unwrap();
+    let mut announcement = heard.announcement.unwrap();
+    // Not sent: the reader sets it by its own clock.
+    announcement.backends[0].warm_at = Duration::ZERO;
+    announcement
+}
+
+fn gateways() -> Announcement {
+    let gateway = GatewayRecord {
+        id: GatewayId(31),
+        node: "gateway-1".into(),
+        zone: "zone-e".into(),
+        home: ProcessId(32),
+        seq: 33,
+        live: true,
+    };
+    Announcement::of_gateways(ProcessId(34), vec![gateway])
+}
+
+fn demands() -> Vec<TenantDemand> {
+    let claim =
+        Claim { token: 3, number: 4, rate: 5.5, burst: 6.25, debt: 7.125, left: Duration::new(2, 500) };
+    let demand = Demand { rate: 1.5, need: 2.5, level: -3.5, returned: 4.5, claim: Some(claim) };
+    let without_claim = Demand { claim: None, ..demand };
+    vec![
+        TenantDemand { tenant: "with-claim".into(), demand },
+        TenantDemand { tenant: "without".into(), demand: without_claim },
+    ]
+}
+
+fn grants() -> Vec<TenantGrant> {
+    let grant = Grant {
+        source: GrantSource::OWNER,
+        token: 11,
+        lineage: Lineage { token: 12, nonce: 13 },
+        number: 14,
+        rate: 15.5,
+        burst: 16.5,
+        debt: 17.5,
+        credit: 18.5,
+        valid_for: Duration::from_millis(4_750),
+    };
+    vec![TenantGrant { tenant: "owned".into(), grant }]
+}
+
+fn replica_message() -> Message {
+    let sender = Sender { id: MemberId(41), address: address(5) };
+    Message { sender, target: Some(MemberId(42)), body: Body::Fetch }
+}
+
+#[tokio::test]
+async fn messages_between_peers_keep_their_bytes() {
+    let presence =
+        |peers, recall| PeerPacket::Presence { process: ProcessId(51), zone: "zone-f".into(), peers, recall };
+    let messages = [
+        ("replica", PeerPacket::Replica(replica_message())),
+        ("announce", PeerPacket::Announce { number: 52, announcements: vec![backends(), gateways()] }),
+        ("announce-empty", PeerPacket::Announce { number: 0, announcements: Vec::new() }),
+        ("announced", PeerPacket::Announced { number: 53 }),
+        ("presence", presence(vec![address(6), "[fd00::1]:7500".parse().unwrap()], true)),
+        ("presence-empty", presence(Vec::new(), false)),
+        ("digest", PeerPacket::Digest(Digest { sums: vec![0, 1, u64::MAX] })),
+        ("demands", PeerPacket::Demands { number: 54, home: ProcessId(55), epoch: 56, demands: demands() }),
+        ("grants", PeerPacket::Grants { number: 57, grants: grants() }),
+        ("relay", PeerPacket::Relay { to: vec![address(7), address(8)], announcements: vec![gateways()] }),
+    ];
+    for (name, message) in &messages {
+        check_frame(&format!("peer-{name}.hex"), message).await;
+    }
+}
--- /dev/null
+++ b/crates/protocol/tests/fixtures.rs
@@ -0,0 +1,184 @@
+//! The bytes on the wire: frames of earlier builds are read as the same messages, and this build writes the same frames.
+
+use std::fmt::Debug;
+use std::fs;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use crankpick_protocol::{
+    encode, pack, unpack, Caller, ConfigurationMark, ConfigurationUpdate, CoreMember, FrameReader,
+    GatewayName, Hello, Report, TenantDemand, TenantGrant, Update,
+};
+use crankpick_quota::{Claim, Demand, Grant, GrantSource, Lineage};
+use crankpick_registry::{
+    Changes, Cursor, GatewayTotal, Heartbeat, HeartbeatState, LoadedModel, ProcessId, Registry,
+    RegistrySettings,
+};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+
+/// Set to write the fixtures anew from this build, in place of comparing them.
+const BLESS: &str = "CRANKPICK_BLESS_FIXTURES";
+
+fn fixture(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+}
+
+fn to_hex(bytes: &[u8]) -> String {
+    let lines: Vec<String> =
+        bytes.chunks(32).map(|line| line.iter().map(|byte| format!("{byte:02x}")).collect()).collect();
+    lines.join("\n") + "\n"
+}
+
+fn from_hex(text: &str) -> Vec<u8> {
+    let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
+    let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap();
+    digits.chunks(2).map(byte).collect()
+}
+
+/// The bytes of a fixture; writes these ones first where fixtures are blessed.
+fn fixture_bytes(name: &str, current: &[u8]) -> Vec<u8> {
+    if std::env::var_os(BLESS).is_some() {
+        fs::write(fixture(name), to_hex(current)).unwrap();
+    }
+    from_hex(&fs::read_to_string(fixture(name)).unwrap())
+}
+
+async fn check_frame<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, message: &T) {
+    let written = encode(message).unwrap();
+    let frame = fixture_bytes(name, &written);
+    let read = FrameReader::new(&frame[..]).next::<T>().await.unwrap().unwrap();
+    assert_eq!(&read, message, "{name}");
+    assert_eq!(to_hex(&written), to_hex(&frame), "{name}");
+}
+
+fn address(last: u8) -> SocketAddr {
+    SocketAddr::from(([10, 1, 2, last], 7500))
+}
+
+fn gateway() -> GatewayName {
+    GatewayName { node: "gateway-1".into(), incarnation: 0x0123_4567_89ab_cdef, zone: "zone-a".into() }
+}
+
+fn configuration() -> ConfigurationMark {
+    ConfigurationMark { position: 41, generation: 42 }
+}
+
+fn claim() -> Claim {
+    Claim { token: 3, number: 4, rate: 5.5, burst: 6.25, debt: 7.125, left: Duration::new(2, 500_000_000) }
+}
+
+fn demand(claim: Option<Claim>) -> Demand {
+    Demand { rate: 1.5, need: 2.5, level: -3.5, returned: 4.5, claim }
+}
+
+fn grant(source: GrantSource) -> Grant {
+    Grant {
+        source,
+        token: 11,
+        lineage: Lineage { token: 12, nonce: 13 },
+        number: 14,
+        rate: 15.5,
+        burst: 16.5,
+        debt: 17.5,
+        credit: 18.5,
+        valid_for: Duration::from_millis(4_750),
+    }
+}
+
+fn heartbeat() -> Heartbeat {
+    Heartbeat {
+        service: "chat".into(),
+        address: address(4),
+        zone: "zone-d".into(),
+        generation: "v5".into(),
+        slots: 6,
+        state: HeartbeatState::Draining,
+        cold_left_ms: 700,
+        stage: "decode".into(),
+        models: vec![LoadedModel { name: "model".into(), generation: 2, loras: vec!["adapter".into()] }],
+        seq: 8,
+    }
+}
+
+fn changes() -> Changes {
+    let now = Duration::from_secs(1);
+    let settings = RegistrySettings::new(Duration::from_secs(1));
+    let mut registry = Registry::new(Duration::ZERO, ProcessId(9), settings);
+    registry.heartbeat(now, "backend-1", heartbeat()).unwrap();
+    let mut changes = registry.changes_since(now, None);
+    // Not sent: the reader sets it by its own clock.
+    changes.records[0].warm_at = Duration::ZERO;
+    changes
+}
+
+#[tokio::test]
+async fn greetings_of_each_caller_keep_their_bytes() {
+    check_frame("hello-peer.hex", &Hello::new(Caller::Peer { address: address(1) })).await;
+    let six = Caller::Peer { address: "[fd00::1]:7500".parse().unwrap() };
+    check_frame("hello-peer-ipv6.hex", &Hello::new(six)).await;
+    check_frame("hello-gateway.hex", &Hello::new(Caller::Gateway(gateway()))).await;
+    check_frame("hello-observer.hex", &Hello::new(Caller::Observer)).await;
+}
+
+#[tokio::test]
+async fn reports_keep_their_bytes() {
+    let full = Report {
+        number: 7,
+        configuration: Some(configuration()),
+        cursor: Some(Cursor { incarnation: ProcessId(8), number: 9 }),
+        demands: vec![
+            TenantDemand { tenant: "with-claim".into(), demand: demand(Some(claim())) },
+            TenantDemand { tenant: "without".into(), demand: demand(None) },
+        ],
+        takes_packed: true,
+    };
+    check_frame("report-full.hex", &full).await;
+    let empty =
+        Report { number: 0, configuration: None, cursor: None, demands: Vec::new(), takes_packed: false };
+    check_frame("report-empty.hex", &empty).await;
+}
+
+#[tokio::test]
+async fn updates_keep_their_bytes() {
+    let full = Update {
+        home: ProcessId(21),
+        answers: Some(22),
+        freshness_ms: Some(23),
+        members: vec![
+            CoreMember { address: address(2), zone: "zone-b".into() },
+            CoreMember { address: address(3), zone: "zone-c".into() },
+        ],
+        configuration: Some(ConfigurationUpdate {
+            mark: configuration(),
+            document: br#"{"generation":42}"#.to_vec(),
+        }),
+        changes: Some(changes()),
+        gateways: GatewayTotal { count: 24, settled: true },
+        grants: vec![
+            TenantGrant { tenant: "owned".into(), grant: grant(GrantSource::OWNER) },
+            TenantGrant { tenant: "leased".into(), grant: grant(GrantSource::home(25)) },
+        ],
+    };
+    check_frame("update-full.hex", &full).await;
+    let empty = Update {
+        home: ProcessId(0),
+        answers: None,
+        freshness_ms: None,
+        members: Vec::new(),
+        configuration: None,
+        changes: None,
+        gateways: GatewayTotal { count: 0, settled: false },
+        grants: Vec::new(),
+    };
+    check_frame("update-empty.hex", &empty).await;
+}
+
+/// Compressed bytes may differ from build to build: they are read, not compared.
+#[test]
+fn a_compressed_document_of_an_earlier_build_is_read() {
+    let document = br#"{"generation":42,"routes":[],"services":[],"again":{"routes":[],"services":[]}}"#;
+    let compressed = fixture_bytes("document-compressed.hex", &pack(document));
+    assert_eq!(*unpack(&compressed).unwrap(), document[..]);
+}
--- /dev/null
+++ b/crates/storage/tests/fixtures.rs
@@ -0,0 +1,68 @@
+//! The bytes of stored files: a file written by an earlier build is read, and this build writes the same bytes.
+
+use std::fs;
+use std::path::{Path, PathBuf};
+
+use crankpick_storage::Log;
+
+/// Set to write the fixtures anew from this build, in place of comparing them.
+const BLESS: &str = "CRANKPICK_BLESS_FIXTURES";
+
+const FIRST_WRITE: &[&[u8]] = &[b"alone"];
+const SECOND_WRITE: &[&[u8]] = &[b"first of three", b"", &[0x00, 0xff, 0x80]];
+const REWRITTEN: &[&[u8]] = &[b"a snapshot", b"in two records"];
+const AFTER_REWRITE: &[&[u8]] = &[b"appended later"];
+
+fn fixture(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+}
+
+/// A directory of its own for one test, empty.
+fn empty_directory(name: &str) -> PathBuf {
+    let path = std::env::temp_dir().join(format!("crankpick-storage-fixture-{}-{name}", std::process::id()));
+    drop(fs::remove_dir_all(&path));
+    fs::create_dir_all(&path).expect("created");
+    path
+}
+
+fn check_written(name: &str, written: &[u8]) {
+    if std::env::var_os(BLESS).is_some() {
+        fs::write(fixture(name), written).expect("blessed");
+    }
+    assert_eq!(written, fs::read(fixture(name)).expect("fixture"), "{name}");
+}
+
+fn check_read(name: &str, file_name: &str, expected: &[&[u8]]) {
+    let directory = empty_directory(&format!("read-{name}"));
+    let file = directory.join(file_name);
+    fs::copy(fixture(name), &file).expect("copied");
+    let (log, records, report) = Log::open(&directory).expect("opened");
+    assert_eq!(records, expected, "{name}");
+    assert!(report.dropped.is_none(), "{name}");
+    assert_eq!(log.path(), file);
+    assert_eq!(log.size(), fs::metadata(&file).expect("there").len(), "{name}");
+    fs::remove_dir_all(&directory).expect("removed");
+}
+
+#[test]
+fn appended_writes_have_the_bytes_of_earlier_builds() {
+    let directory = empty_directory("appended");
+    let (mut log, _, _) = Log::open(&directory).expect("opened");
+    log.append(FIRST_WRITE).expect("appended");
+    log.append(SECOND_WRITE).expect("appended");
+    check_written("appended.bin", &fs::read(directory.join("records-1")).expect("read"));
+    check_read("appended.bin", "records-1", &[FIRST_WRITE, SECOND_WRITE].concat());
+    fs::remove_dir_all(&directory).expect("removed");
+}
+
+#[test]
+fn a_rewritten_file_has_the_bytes_of_earlier_builds() {
+    let directory = empty_directory("rewritten");
+    let (mut log, _, _) = Log::open(&directory).expect("opened");
+    log.append(FIRST_WRITE).expect("appended");
+    log.rewrite(REWRITTEN).expect("rewritten");
+    log.append(AFTER_REWRITE).expect("appended");
+    check_written("rewritten.bin", &fs::read(directory.join("records-2")).expect("read"));
+    check_read("rewritten.bin", "records-2", &[REWRITTEN, AFTER_REWRITE].concat());
+    fs::remove_dir_all(&directory).expect("removed");
+}
