--- a/crates/system/src/home_link.rs
+++ b/crates/system/src/home_link.rs
@@ -8,8 +8,8 @@
 use crankpick_configuration::RoutingTable;
 use crankpick_gateway::Shared;
 use crankpick_protocol::{
-    dial, unpack, Caller, ConfigurationMark, ConfigurationUpdate, DialOptions, FrameReader, FrameWriter,
-    GatewayName, Hello, ProtocolError, Report, TenantDemand, Update,
+    decompress, dial, Caller, ConfigurationUpdate, ConfigurationVersion, DialOptions, FrameReader,
+    FrameWriter, GatewayIdentity, GatewayReport, Handshake, HomeUpdate, ProtocolError, TenantDemand,
 };
 use crankpick_quota::GrantSource;
 use crankpick_registry::{
@@ -39,18 +39,18 @@
 const FIRST_STALE: Duration = Duration::from_millis(300);
 
 enum Event {
-    Told(SocketAddr, Update),
+    Told(SocketAddr, HomeUpdate),
     Closed(SocketAddr),
 }
 
 struct Connection {
-    reports: Sender<Report>,
+    reports: Sender<GatewayReport>,
     sent: VecDeque<(u64, Now)>,
     last_sent: Option<Now>,
     /// When the home's configuration was the newest, by its last answer; none where it can't tell, or where that
     /// was before this process began.
     newest_as_of: Option<Now>,
-    held: VecDeque<Update>,
+    held: VecDeque<HomeUpdate>,
 }
 
 /// All that a gateway hears from the control plane.
@@ -58,7 +58,7 @@
     started: Instant,
     shared: Arc<Shared>,
     source: GrantSource,
-    name: GatewayName,
+    name: GatewayIdentity,
     options: DialOptions,
     choice: HomeChoice,
     connections: BTreeMap<SocketAddr, Connection>,
@@ -68,7 +68,7 @@
     next_report: Now,
     builder: TableBuilder,
     count: GatewayCount,
-    configuration: Option<ConfigurationMark>,
+    configuration: Option<ConfigurationVersion>,
     held_configuration: Option<ConfigurationUpdate>,
     /// The newest that was told can't be read: what is in force is not the newest.
     unreadable: bool,
@@ -79,7 +79,7 @@
     /// A link that knows the settings alone.
     pub fn new(settings: &Settings, started: Instant, shared: Arc<Shared>, log: Logger) -> Self {
         let (events, queue) = channel(EVENTS);
-        let name = GatewayName {
+        let name = GatewayIdentity {
             node: settings.node.clone(),
             incarnation: fastrand::u64(1..),
             zone: settings.zone.clone(),
@@ -187,7 +187,7 @@
         let Some(connection) = self.connections.get_mut(&home) else { return };
         self.last_report += 1;
         let demands = if followed { demands(&self.shared, self.source) } else { Vec::new() };
-        let report = Report {
+        let report = GatewayReport {
             number: self.last_report,
             configuration: self.configuration,
             cursor: self.builder.cursor(),
@@ -203,7 +203,7 @@
         }
     }
 
-    fn told(&mut self, home: SocketAddr, update: Update) {
+    fn told(&mut self, home: SocketAddr, update: HomeUpdate) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(&home) else { return };
         let sent_at = update.answers.and_then(|number| connection.answered(number));
@@ -229,7 +229,7 @@
     }
 
     /// Keeps an update of a home that may be followed soon. None may be left out: the home tells nothing twice.
-    fn hold(&mut self, home: SocketAddr, update: Update) {
+    fn hold(&mut self, home: SocketAddr, update: HomeUpdate) {
         let Some(connection) = self.connections.get_mut(&home) else { return };
         if connection.held.len() < HELD {
             connection.held.push_back(update);
@@ -238,7 +238,7 @@
         }
     }
 
-    fn apply(&mut self, update: Update) {
+    fn apply(&mut self, update: HomeUpdate) {
         let now = self.now();
         if !update.members.is_empty() {
             let candidates: Vec<HomeCandidate> = update
@@ -307,7 +307,7 @@
 }
 
 impl Connection {
-    fn new(reports: Sender<Report>) -> Self {
+    fn new(reports: Sender<GatewayReport>) -> Self {
         Connection {
             reports,
             sent: VecDeque::new(),
@@ -334,7 +334,7 @@
 
 /// The table of a configuration as its home told it, or why there is none.
 fn compiled(told: &[u8]) -> Result<RoutingTable, String> {
-    let document = unpack(told).map_err(|wrong| wrong.to_string())?;
+    let document = decompress(told).map_err(|wrong| wrong.to_string())?;
     let configuration = crankpick_configuration::read(&document).map_err(|wrong| wrong.to_string())?;
     Ok(RoutingTable::compile(&configuration))
 }
@@ -345,16 +345,19 @@
 }
 
 async fn talk(
-    home: SocketAddr, name: GatewayName, options: DialOptions, mut reports: Receiver<Report>,
+    home: SocketAddr,
+    name: GatewayIdentity,
+    options: DialOptions,
+    mut reports: Receiver<GatewayReport>,
     events: &Sender<Event>,
 ) -> Result<(), ProtocolError> {
     let (read, write) = dial(home, options).await?.into_split();
     let mut writer = FrameWriter::new(write);
-    writer.send(&Hello::new(Caller::Gateway(name))).await?;
+    writer.send(&Handshake::new(Caller::Gateway(name))).await?;
     let mut reader = FrameReader::new(read);
     let hear = async {
         loop {
-            match timeout(SILENCE, reader.next::<Update>()).await {
+            match timeout(SILENCE, reader.next::<HomeUpdate>()).await {
                 Ok(Ok(Some(update))) => {
                     if events.send(Event::Told(home, update)).await.is_err() {
                         return Ok(());
--- a/crates/system/tests/unit/home_link.rs
+++ b/crates/system/tests/unit/home_link.rs
@@ -12,8 +12,8 @@
 const CONFIGURATION: &[u8] = br#"{"generation":1,"routes":[],"services":[]}"#;
 const LITTLE: Duration = Duration::from_millis(100);
 
-fn update(answers: u64, freshness_ms: Option<u32>) -> Update {
-    Update {
+fn update(answers: u64, freshness_ms: Option<u32>) -> HomeUpdate {
+    HomeUpdate {
         home: ProcessId(1),
         answers: Some(answers),
         freshness_ms,
@@ -27,7 +27,7 @@
 
 fn configuration(position: u64, document: &[u8]) -> ConfigurationUpdate {
     ConfigurationUpdate {
-        mark: ConfigurationMark { position, generation: position },
+        mark: ConfigurationVersion { position, generation: position },
         document: document.to_vec(),
     }
 }
@@ -37,7 +37,7 @@
     link: HomeLink,
     shared: Arc<Shared>,
     home: SocketAddr,
-    _reports: Receiver<Report>,
+    _reports: Receiver<GatewayReport>,
 }
 
 impl Linked {
@@ -62,7 +62,7 @@
     async fn answered(&mut self, freshness_ms: Option<u32>, told: Option<ConfigurationUpdate>) {
         self.link.report(self.home, true);
         advance(LITTLE).await;
-        let answer = Update { configuration: told, ..update(self.link.last_report, freshness_ms) };
+        let answer = HomeUpdate { configuration: told, ..update(self.link.last_report, freshness_ms) };
         self.link.told(self.home, answer);
         let now = self.link.now();
         for action in self.link.choice.poll(now) {
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -65,7 +65,10 @@
 impl Balancer {
     /// Takes in all news of one batch through `feed`, then places what waits.
     pub fn round<E>(
-        &mut self, now_us: u64, out: &mut dyn Writer, feed: impl FnOnce(&mut Inbox) -> Result<(), E>,
+        &mut self,
+        now_us: u64,
+        out: &mut dyn Writer,
+        feed: impl FnOnce(&mut Inbox) -> Result<(), E>,
     ) -> Result<(), E> {
         if std::mem::take(&mut self.must_ask) {
             out.subscribe();
@@ -530,7 +533,13 @@
 
 impl Inbox<'_> {
     pub fn query(
-        &mut self, id: &str, workload: usize, tenant: usize, ttl_us: u64, hint_us: Option<u64>, again: bool,
+        &mut self,
+        id: &str,
+        workload: usize,
+        tenant: usize,
+        ttl_us: u64,
+        hint_us: Option<u64>,
+        again: bool,
     ) -> Result<(), String> {
         let b = &mut *self.balancer;
         let about = b.workloads.get(workload).ok_or_else(|| format!("unknown workload {workload}"))?;
@@ -584,7 +593,12 @@
     }
 
     pub fn outcome(
-        &mut self, id: &str, execution: u32, ended: Ended, took_us: u64, over: bool,
+        &mut self,
+        id: &str,
+        execution: u32,
+        ended: Ended,
+        took_us: u64,
+        over: bool,
         report: Option<LoadReport>,
     ) {
         let (b, now_us) = (&mut *self.balancer, self.now_us);
--- a/src/judge.rs
+++ b/src/judge.rs
@@ -35,7 +35,13 @@
     /// Sets what follows from its outcomes, notes and probes by now. `usual_pace` stands for it without
     /// outcomes and counts as `sure` of them beside.
     pub fn recall(
-        &mut self, now_us: u64, used: f64, usual_pace: f64, sure: f64, target_us: f64, quickest_us: u64,
+        &mut self,
+        now_us: u64,
+        used: f64,
+        usual_pace: f64,
+        sure: f64,
+        target_us: f64,
+        quickest_us: u64,
     ) {
         self.told.retain(|told| told.until_us > now_us);
         self.used = self.utilisation.unwrap_or(used);
--- a/src/kept.rs
+++ b/src/kept.rs
@@ -487,8 +487,15 @@
 
 impl Balancer {
     pub fn new(
-        seed: u64, balancers: u32, number: u32, workloads: Vec<Workload>, tenants: Vec<Tenant>,
-        limits: ExecutionLimits, cold: ColdRule, must_ask: bool, standing: Standing,
+        seed: u64,
+        balancers: u32,
+        number: u32,
+        workloads: Vec<Workload>,
+        tenants: Vec<Tenant>,
+        limits: ExecutionLimits,
+        cold: ColdRule,
+        must_ask: bool,
+        standing: Standing,
     ) -> Self {
         let mut balancer = Balancer {
             rng: Rng::with_seed(seed),
@@ -512,7 +519,11 @@
     /// Settings for all queries to come; returns the numbers of their workloads. One that is as it was keeps its
     /// number, and none is given twice, since open queries and some about to come still go by the old ones.
     pub fn reload(
-        &mut self, workloads: Vec<Workload>, tenants: Vec<Tenant>, limits: ExecutionLimits, cold: ColdRule,
+        &mut self,
+        workloads: Vec<Workload>,
+        tenants: Vec<Tenant>,
+        limits: ExecutionLimits,
+        cold: ColdRule,
     ) -> Vec<usize> {
         let slo_us = workloads.iter().map(|workload| workload.slo_us).min().unwrap_or(0);
         self.target_us = (slo_us as f64 / 8.0).max(1.0);
--- a/tests/ledger/mod.rs
+++ b/tests/ledger/mod.rs
@@ -100,7 +100,10 @@
 
     /// One round `step_us` later, with the timers that are due; then the clock is held against rule 1.
     pub fn round(
-        &mut self, balancer: &mut Balancer, step_us: u64, feed: impl FnOnce(&mut Ledger, &mut Inbox),
+        &mut self,
+        balancer: &mut Balancer,
+        step_us: u64,
+        feed: impl FnOnce(&mut Ledger, &mut Inbox),
     ) {
         self.now_us += step_us;
         let (due, later): (Vec<_>, Vec<_>) = self.wakes.drain(..).partition(|wake| wake.0 <= self.now_us);
@@ -143,7 +146,12 @@
     }
 
     pub fn end_with(
-        &mut self, inbox: &mut Inbox, id: &str, number: usize, ended: Ended, report: Option<LoadReport>,
+        &mut self,
+        inbox: &mut Inbox,
+        id: &str,
+        number: usize,
+        ended: Ended,
+        report: Option<LoadReport>,
     ) {
         let qry = self.queries.get_mut(id).expect("taken before");
         let took_us = self.now_us - qry.sent[number].at_us;
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -9,7 +9,11 @@
 use std::collections::BTreeSet;
 
 fn start(
-    kind: Repeat, backends: u32, balancers: u32, number: u32, may_duplicate: bool,
+    kind: Repeat,
+    backends: u32,
+    balancers: u32,
+    number: u32,
+    may_duplicate: bool,
 ) -> (Ledger, Balancer) {
     let limits =
         ExecutionLimits { max_executions: 3, may_duplicate, cancel: true, max_backoff_us: 2_000_000 };
--- a/tests/retry/stand_in.rs
+++ b/tests/retry/stand_in.rs
@@ -106,7 +106,12 @@
 
 /// Plays `event` to a fleet until all have heard, or `end_us` is over.
 pub fn play(
-    proxies: usize, waits: impl Waits, event: Event, capacity: Capacity, end_us: u64, seed: u64,
+    proxies: usize,
+    waits: impl Waits,
+    event: Event,
+    capacity: Capacity,
+    end_us: u64,
+    seed: u64,
 ) -> Run {
     let mut rng = Rng::with_seed(seed);
     let mut fleet = vec![waits; proxies];
