--- /dev/null
+++ b/crates/carry/tests/serialized_format.rs
@@ -0,0 +1,355 @@
+//! The serialized form of the old fleet's frames and of what its store holds, against bytes that were written before.
+//!
+//! Frames and stored values are `postcard`: fields and variants by their order, names don't count. A moved variant or
+//! field breaks an upgrade and this test. `BLESS_FIXTURES=1` records the bytes anew after an intended change.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::fs;
+use std::path::PathBuf;
+
+use crankpick_carry::frames::{framed, read};
+use crankpick_fleet::sight::{Coarse, Objection, Seen, Sees, Sight, Summed, View};
+use crankpick_fleet::state::{Command, Current, Duty, Fleet, Outcome};
+use crankpick_fleet::words::{
+    Ask, Desk, MemberStatus, Publication, Renewal, Renewed, Seat, Status, Told, Who, Word,
+};
+use crankpick_fleet::work::{Absent, Bounds, Is, Machine, Order, Plan, Say, Stage, Step, Terms, Work};
+
+fn who() -> Who {
+    Who { name: "n1".into(), incarnation: 0x1234_5678_9abc }
+}
+
+fn terms() -> Terms {
+    Terms { drains: true, waits: false, longest_us: 2_500_000 }
+}
+
+fn publication() -> Publication {
+    Publication {
+        token: 7,
+        version: 19,
+        outs: BTreeSet::from(["s-1".into(), "s-2".into()]),
+        owner: "n1".into(),
+    }
+}
+
+fn bounds() -> Bounds {
+    Bounds {
+        most_out: 5,
+        most_out_zone: 4,
+        most_out_cell: 3,
+        most_cold: 2,
+        least_spare: 1.25,
+        most_rejected: 0.5,
+        most_silent: 0.75,
+        quiet: vec![(60, 120), (1_380, 1_440)],
+        hang_us: 11,
+        work_us: 12,
+        warm_us: 13,
+        calm_us: 14,
+        last_of_cell: true,
+    }
+}
+
+/// One machine of each stage.
+fn plan() -> Plan {
+    let stages = [
+        Stage::Proposed,
+        Stage::Agreed,
+        Stage::Leaving,
+        Stage::Out,
+        Stage::Beginning,
+        Stage::Working,
+        Stage::Failed,
+        Stage::Mended,
+        Stage::Back,
+        Stage::Warm,
+        Stage::Done,
+        Stage::Cancelled,
+    ];
+    let machine = |index: usize, stage| Machine {
+        is: if index.is_multiple_of(2) { Is::Backend } else { Is::Proxy },
+        zone: "a".into(),
+        cell: 3,
+        votes: index == 1,
+        stage,
+        why: "kernel".into(),
+        version: 20,
+        revision: 21,
+        wall_us: 22,
+        put_back: 1,
+    };
+    let machines =
+        stages.into_iter().enumerate().map(|(index, stage)| (format!("m-{index:02}"), machine(index, stage)));
+    Plan {
+        why: "kernel".into(),
+        bounds: bounds(),
+        maintenance: Some("127.0.0.1:9999".into()),
+        paused: true,
+        cancelled: false,
+        waits: "for m-01".into(),
+        number: 4,
+        machines: machines.collect(),
+    }
+}
+
+/// Its count of plans taken is private: it stays at its default.
+fn work() -> Work {
+    let mut work = Work::default();
+    work.revision = 23;
+    work.plans.insert("p".into(), plan());
+    work
+}
+
+fn sight() -> Sight {
+    let summed = Summed { zone: "a".into(), cell: 3, load: 1.5, max: 8.25, by: 5, lost_by: 1 };
+    Sight {
+        backends: BTreeMap::from([("s-1".into(), summed)]),
+        proxies: 9,
+        in_touch: 8,
+        told: 7,
+        queries: 1_000.5,
+        rejected: 0.25,
+        silent: vec!["n9".into()],
+        ..Sight::default()
+    }
+}
+
+fn step() -> Step {
+    Step {
+        token: 7,
+        plan: "p".into(),
+        machine: "m-01".into(),
+        from: Stage::Agreed,
+        to: Stage::Leaving,
+        revision: 21,
+        why: "next".into(),
+        wall_us: 22,
+    }
+}
+
+fn orders() -> Vec<Order> {
+    let say = |say| Order::Say { name: "p".into(), say };
+    vec![
+        Order::Add { name: "p".into(), plan: Box::new(plan()) },
+        say(Say::Pause),
+        say(Say::Resume),
+        say(Say::Cancel),
+        Order::Ended { machine: "m-01".into(), well: true },
+        Order::Forget { name: "n9".into() },
+    ]
+}
+
+fn commands() -> Vec<(String, Command)> {
+    let mut commands = vec![
+        ("join".into(), Command::Join(vec![(who(), terms())])),
+        ("leave".into(), Command::Leave(vec![(who(), true)])),
+        ("grant".into(), Command::Grant { duty: "outs".into(), token: 8, to: who() }),
+        ("release".into(), Command::Release { duty: "outs".into(), token: 8 }),
+        ("outs".into(), Command::Outs { id: 1 << 100, out: true, ids: vec!["s-1".into()] }),
+        ("steps".into(), Command::Steps(vec![step()])),
+        ("waits".into(), Command::Waits { token: 8, plan: "p".into(), why: "m-01".into() }),
+    ];
+    for (index, order) in orders().into_iter().enumerate() {
+        commands.push((format!("work-{index}"), Command::Work { id: 5, order }));
+    }
+    commands
+}
+
+fn outcomes() -> [Outcome; 5] {
+    [
+        Outcome::Version(20),
+        Outcome::Granted,
+        Outcome::Nothing,
+        Outcome::Refused("no".into()),
+        Outcome::Stepped(vec![None, Some("no".into())]),
+    ]
+}
+
+fn renewal() -> Renewal {
+    let sees = Sees { zone: "a".into(), cell: 3, load: Coarse::of(2.0), max: Coarse::of(9.0), lost: true };
+    let view = View {
+        backends: BTreeMap::from([("s-1".into(), sees)]),
+        queries: Coarse::of(100.0),
+        rejected: Coarse::of(1.0),
+    };
+    let objection = Objection { machine: "s-1".into(), why: "strained".into(), for_us: 31 };
+    let seen = Seen {
+        revision: 23,
+        objections: vec![objection],
+        busy: BTreeSet::from(["s-2".into()]),
+        drained: true,
+        view: Some(view),
+    };
+    Renewal {
+        who: who(),
+        sent_us: 41,
+        willing: true,
+        writable: false,
+        voter: true,
+        taken_token: 7,
+        taken: 18,
+        acted: 17,
+        heard: 19,
+        kept: 16,
+        terms: terms(),
+        seen,
+        work: Some(23),
+    }
+}
+
+fn renewed() -> Renewed {
+    Renewed {
+        who: who(),
+        sent_us: 41,
+        superseded: false,
+        duties: vec![("outs".into(), 7)],
+        version: 19,
+        tokens: vec![("outs".into(), 7), ("work".into(), 8)],
+        outs: Some(BTreeSet::from(["s-1".into()])),
+        leader: "n2".into(),
+        next: Some((23, vec!["s-3".into()])),
+        drained: true,
+        work: Some(Box::new(Desk { revision: 23, work: Some(work()), sight: sight() })),
+    }
+}
+
+fn status() -> Status {
+    let member = MemberStatus {
+        name: "n1".into(),
+        incarnation: "1234".into(),
+        voter: true,
+        writable: true,
+        willing: false,
+        token: 7,
+        taken: 18,
+        acted: 17,
+        silent_us: 51,
+    };
+    Status {
+        leader: "n2".into(),
+        term: 3,
+        version: 19,
+        outs: BTreeSet::from(["s-1".into()]),
+        duties: BTreeMap::from([("outs".into(), (Some("n1".into()), 7))]),
+        members: vec![member],
+        unheard: vec!["n3".into()],
+        absent: vec![Absent { who: who(), terms: terms(), parted: true }],
+    }
+}
+
+fn words() -> Vec<(String, Word)> {
+    let (call, duty) = (61, "outs".to_owned());
+    let ask = |ask| Word::Ask { who: who(), call, ask };
+    let told = |told| Word::Told { who: who(), call, told };
+    let mut words = vec![
+        ("hello".into(), Word::Hello { fleet: "f".into(), who: who(), voter: true }),
+        ("beat".into(), Word::Beat),
+        (
+            "seat".into(),
+            Word::Seat(Seat { id: 9, roster: Some(BTreeMap::from([("n1".into(), 9)])), started: true }),
+        ),
+        ("agree".into(), Word::Agree(vec![0, 1, 0xff])),
+        ("renew".into(), Word::Renew(renewal())),
+        ("renewed".into(), Word::Renewed(renewed())),
+        ("nudge".into(), Word::Nudge(who())),
+        ("release".into(), Word::Release { duty: duty.clone(), token: 7, who: who() }),
+        ("ask-status".into(), ask(Ask::Status)),
+        ("ask-work".into(), ask(Ask::Work)),
+        ("told-status".into(), told(Told::Status(Box::new(status())))),
+        ("told-work".into(), told(Told::Work(Box::new((work(), sight()))))),
+        ("told-not-now".into(), told(Told::NotNow("nobody leads".into()))),
+        ("publish".into(), Word::Publish { publication: publication(), passed: true }),
+        ("stale".into(), Word::Stale { duty, token: 7, seen: 8 }),
+        ("away".into(), Word::Away),
+        ("part".into(), Word::Part(who())),
+    ];
+    words.extend(
+        commands().into_iter().map(|(name, command)| (format!("ask-{name}"), ask(Ask::Command(command)))),
+    );
+    for (index, outcome) in outcomes().into_iter().enumerate() {
+        words.push((format!("told-outcome-{index}"), told(Told::Done(outcome))));
+    }
+    words
+}
+
+/// Fails to compile when a variant is added, which needs a sample above.
+fn variant(word: &Word) -> usize {
+    match word {
+        Word::Hello { .. } => 0,
+        Word::Beat => 1,
+        Word::Seat(_) => 2,
+        Word::Agree(_) => 3,
+        Word::Renew(_) => 4,
+        Word::Renewed(_) => 5,
+        Word::Nudge(_) => 6,
+        Word::Release { .. } => 7,
+        Word::Ask { .. } => 8,
+        Word::Told { .. } => 9,
+        Word::Publish { .. } => 10,
+        Word::Stale { .. } => 11,
+        Word::Away => 12,
+        Word::Part(_) => 13,
+    }
+}
+
+fn to_hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn from_hex(text: &str) -> Vec<u8> {
+    let pairs = text.as_bytes().chunks(2);
+    pairs.map(|pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap()).collect()
+}
+
+/// The recorded lines, name and bytes; `written` is recorded first when that is asked for.
+fn recorded(file: &str, written: &[(String, Vec<u8>)]) -> Vec<(String, Vec<u8>)> {
+    let path: PathBuf = [env!("CARGO_MANIFEST_DIR"), "tests", "fixtures", file].iter().collect();
+    if std::env::var_os("BLESS_FIXTURES").is_some() {
+        let lines: String =
+            written.iter().map(|(name, bytes)| format!("{name} {}\n", to_hex(bytes))).collect();
+        fs::write(&path, lines).unwrap();
+    }
+    let text = fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
+    let lines = text.lines().map(|line| line.split_once(' ').expect("a name and bytes"));
+    lines.map(|(name, digits)| (name.to_owned(), from_hex(digits))).collect()
+}
+
+#[tokio::test]
+async fn every_word_keeps_its_frame() {
+    let words = words();
+    let variants: BTreeSet<usize> = words.iter().map(|(_, word)| variant(word)).collect();
+    assert_eq!(variants, (0..14).collect(), "each variant has a sample");
+    let written: Vec<_> =
+        words.iter().map(|(name, word)| (name.clone(), framed(word).expect("short enough"))).collect();
+    let recorded = recorded("words.hex", &written);
+    assert_eq!(recorded.len(), written.len());
+    for ((recorded, written), (_, word)) in recorded.iter().zip(&written).zip(&words) {
+        assert_eq!(recorded.0, written.0);
+        assert_eq!(to_hex(&recorded.1), to_hex(&written.1), "{}: written in another form", recorded.0);
+        let decoded = read(&mut &recorded.1[..], &mut Vec::new()).await.expect("a recorded frame is read");
+        assert_eq!(&decoded, word, "{}: read as another value", recorded.0);
+    }
+}
+
+/// What the store holds beside the log of the consensus engine, and the state that its snapshots hold.
+#[test]
+fn stored_values_keep_their_form() {
+    let mut fleet = Fleet::founded(BTreeMap::from([("n1".into(), 9), ("n2".into(), 10)]));
+    fleet.sessions.insert("n1".into(), Current { incarnation: 5, terms: terms() });
+    fleet.absent.insert("n9".into(), Absent { who: who(), terms: terms(), parted: false });
+    fleet.duties.insert("outs".into(), Duty { owner: Some(who()), token: 7 });
+    fleet.outs.insert("s-1".into());
+    fleet.work = work();
+    fleet.version = 19;
+    let roster = fleet.seats.clone();
+    let written = vec![
+        ("taken".to_owned(), postcard::to_stdvec(&publication()).unwrap()),
+        ("roster".to_owned(), postcard::to_stdvec(&roster).unwrap()),
+        ("fleet".to_owned(), postcard::to_stdvec(&fleet).unwrap()),
+    ];
+    let recorded = recorded("stored.hex", &written);
+    assert_eq!(recorded, written);
+    assert_eq!(postcard::from_bytes::<Publication>(&recorded[0].1).unwrap(), publication());
+    assert_eq!(postcard::from_bytes::<BTreeMap<String, u64>>(&recorded[1].1).unwrap(), roster);
+    assert_eq!(postcard::from_bytes::<Fleet>(&recorded[2].1).unwrap(), fleet);
+}
