--- a/crates/system/src/home_link.rs
+++ b/crates/system/src/home_link.rs
@@ -1,85 +1,62 @@
 //! The gateway's connections to the control plane: one to its home, for a moment another while it changes homes.
 
-use std::collections::{BTreeMap, VecDeque};
+mod configuration_slot;
+mod connection;
+
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-use crankpick_configuration::RoutingTable;
 use crankpick_gateway::Shared;
-use crankpick_protocol::{
-    decompress, dial, Caller, ConfigurationUpdate, ConfigurationVersion, DialOptions, FrameReader,
-    FrameWriter, GatewayIdentity, GatewayReport, Handshake, HomeUpdate, ProtocolError, TenantDemand,
-};
+use crankpick_protocol::{DialOptions, GatewayIdentity, GatewayReport, HomeUpdate, TenantDemand};
 use crankpick_quota::GrantSource;
 use crankpick_registry::{
     GatewayCount, HomeAction, HomeAnswer, HomeCandidate, HomeChoice, HomeChoiceSettings, Now, TableBuilder,
 };
 use crankpick_settings::Settings;
-use slog::{info, warn, Logger};
+use slog::{info, Logger};
 use tokio::sync::mpsc::{channel, Receiver, Sender};
-use tokio::time::{sleep_until, timeout, Instant};
-
-/// Between two reports.
-const REPORT: Duration = Duration::from_millis(250);
-const CONNECT: Duration = Duration::from_millis(700);
-const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A home answers each report: one that is silent for so long is gone.
-const SILENCE: Duration = Duration::from_millis(1_500);
-/// Reports that wait for a home.
-const REPORTS: usize = 8;
-const EVENTS: usize = 256;
-/// Updates of a home that isn't followed yet.
-const HELD: usize = 16;
-/// Reports whose answers may still come.
-const SENT: usize = 64;
-/// A configuration this fresh is as good as the newest.
-const FRESH: Duration = Duration::from_millis(600);
-/// A process that has heard of no fresh configuration serves by what there is after this time.
-const FIRST_STALE: Duration = Duration::from_millis(300);
+use tokio::time::{sleep_until, Instant};
 
-enum Event {
-    Told(SocketAddr, HomeUpdate),
-    Closed(SocketAddr),
-}
+use configuration_slot::ConfigurationSlot;
+use connection::{Connection, Event, MAX_QUEUED_REPORTS};
 
-struct Connection {
-    reports: Sender<GatewayReport>,
-    sent: VecDeque<(u64, Now)>,
-    last_sent: Option<Now>,
-    /// When the home's configuration was the newest, by its last answer; none where it can't tell, or where that
-    /// was before this process began.
-    newest_as_of: Option<Now>,
-    held: VecDeque<HomeUpdate>,
-}
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
+/// `TCP_USER_TIMEOUT`: how long sent bytes may go unacknowledged.
+const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Events of all connections that may wait for the link.
+const MAX_QUEUED_EVENTS: usize = 256;
+/// A home whose configuration was the newest so lately is as good as a fresh one.
+const FRESH_WITHIN: Duration = Duration::from_millis(600);
+/// A process that has heard of no fresh configuration serves by what it has after this time from its start.
+const STALE_CONFIGURATION_AFTER: Duration = Duration::from_millis(300);
 
-/// All that a gateway hears from the control plane.
+/// All that a gateway receives from the control plane: who to follow, the configuration, backends, quotas.
 pub struct HomeLink {
     started: Instant,
     shared: Arc<Shared>,
-    source: GrantSource,
-    name: GatewayIdentity,
+    grant_source: GrantSource,
+    identity: GatewayIdentity,
     options: DialOptions,
     choice: HomeChoice,
     connections: BTreeMap<SocketAddr, Connection>,
     events: Sender<Event>,
     queue: Receiver<Event>,
-    last_report: u64,
-    next_report: Now,
-    builder: TableBuilder,
-    count: GatewayCount,
-    configuration: Option<ConfigurationVersion>,
-    held_configuration: Option<ConfigurationUpdate>,
-    /// The newest that was told can't be read: what is in force is not the newest.
-    unreadable: bool,
+    last_report_number: u64,
+    next_report_at: Now,
+    backends: TableBuilder,
+    gateway_count: GatewayCount,
+    configuration: ConfigurationSlot,
     log: Logger,
 }
 
 impl HomeLink {
     /// A link that knows the settings alone.
     pub fn new(settings: &Settings, started: Instant, shared: Arc<Shared>, log: Logger) -> Self {
-        let (events, queue) = channel(EVENTS);
-        let name = GatewayIdentity {
+        let (events, queue) = channel(MAX_QUEUED_EVENTS);
+        let identity = GatewayIdentity {
             node: settings.node.clone(),
             incarnation: fastrand::u64(1..),
             zone: settings.zone.clone(),
@@ -90,20 +67,18 @@
         HomeLink {
             started,
             shared,
-            source: GrantSource::home(0),
-            name,
-            options: DialOptions { from: settings.ip, within: CONNECT, user_timeout: USER_TIMEOUT },
+            grant_source: GrantSource::home(0),
+            identity,
+            options: DialOptions { from: settings.ip, within: CONNECT_TIMEOUT, user_timeout: USER_TIMEOUT },
             choice: HomeChoice::new(started.elapsed(), choice_settings, fastrand::u64(..)),
             connections: BTreeMap::new(),
             events,
             queue,
-            last_report: 0,
-            next_report: started.elapsed(),
-            builder: TableBuilder::new(),
-            count: GatewayCount::new(),
-            configuration: None,
-            held_configuration: None,
-            unreadable: false,
+            last_report_number: 0,
+            next_report_at: started.elapsed(),
+            backends: TableBuilder::new(),
+            gateway_count: GatewayCount::new(),
+            configuration: ConfigurationSlot::default(),
             log,
         }
     }
@@ -113,18 +88,18 @@
         loop {
             let now = self.now();
             for action in self.choice.poll(now) {
-                self.act(action);
+                self.carry_out(action);
             }
-            if now >= self.next_report {
-                self.next_report = now + REPORT;
+            if now >= self.next_report_at {
+                self.next_report_at = now + REPORT_INTERVAL;
                 self.report_all();
                 self.publish_stale_configuration();
             }
-            let wake = self.choice.wake_at(now).min(self.next_report);
+            let wake = self.choice.wake_at(now).min(self.next_report_at);
             tokio::select! {
                 event = self.queue.recv() => match event {
-                    Some(Event::Told(home, update)) => self.told(home, update),
-                    Some(Event::Closed(home)) => self.closed(home),
+                    Some(Event::Update(home, update)) => self.on_update(home, update),
+                    Some(Event::Closed(home)) => self.on_closed(home),
                     None => return,
                 },
                 _ = sleep_until(self.started + wake) => {}
@@ -137,7 +112,7 @@
         self.started.elapsed()
     }
 
-    fn act(&mut self, action: HomeAction) {
+    fn carry_out(&mut self, action: HomeAction) {
         match action {
             HomeAction::Dial(home) => self.dial(home),
             HomeAction::Follow(home) => self.follow(home),
@@ -148,10 +123,11 @@
     }
 
     fn dial(&mut self, home: SocketAddr) {
-        let (reports, queue) = channel(REPORTS);
-        let (name, options, events) = (self.name.clone(), self.options, self.events.clone());
+        let (reports, queue) = channel(MAX_QUEUED_REPORTS);
+        let (identity, options, events) = (self.identity.clone(), self.options, self.events.clone());
         tokio::spawn(async move {
-            let _why = talk(home, name, options, queue, &events).await;
+            // Whatever ended it, another dial is the choice's to make.
+            let _cause = connection::run(home, identity, options, queue, &events).await;
             let _ended = events.send(Event::Closed(home)).await;
         });
         self.connections.insert(home, Connection::new(reports));
@@ -161,13 +137,13 @@
     fn follow(&mut self, home: SocketAddr) {
         info!(self.log, "home"; "address" => %home);
         let Some(connection) = self.connections.get_mut(&home) else { return };
-        for update in std::mem::take(&mut connection.held) {
+        for update in connection.take_deferred() {
             self.apply(update);
         }
         self.confirm_configuration();
     }
 
-    fn closed(&mut self, home: SocketAddr) {
+    fn on_closed(&mut self, home: SocketAddr) {
         if self.connections.remove(&home).is_some() {
             self.choice.failed(self.now(), home);
         }
@@ -185,56 +161,45 @@
     fn report(&mut self, home: SocketAddr, followed: bool) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(&home) else { return };
-        self.last_report += 1;
-        let demands = if followed { demands(&self.shared, self.source) } else { Vec::new() };
+        self.last_report_number += 1;
+        let demands = if followed { demands(&self.shared, self.grant_source) } else { Vec::new() };
         let report = GatewayReport {
-            number: self.last_report,
-            configuration: self.configuration,
-            cursor: self.builder.cursor(),
+            number: self.last_report_number,
+            configuration: self.configuration.in_force(),
+            cursor: self.backends.cursor(),
             demands,
             takes_packed: true,
         };
-        if connection.reports.try_send(report).is_ok() {
-            connection.sent.push_back((self.last_report, now));
-            connection.last_sent = Some(now);
-            if connection.sent.len() > SENT {
-                connection.sent.pop_front();
-            }
-        }
+        connection.send(now, report);
     }
 
-    fn told(&mut self, home: SocketAddr, update: HomeUpdate) {
+    fn on_update(&mut self, home: SocketAddr, update: HomeUpdate) {
         let now = self.now();
-        let Some(connection) = self.connections.get_mut(&home) else { return };
-        let sent_at = update.answers.and_then(|number| connection.answered(number));
         let followed = self.choice.following() == Some(home);
+        let Some(connection) = self.connections.get_mut(&home) else { return };
+        let last_report_at = connection.last_report_at;
+        let sent_at = update.answers.and_then(|number| connection.take_sent_at(number));
         if let Some(sent_at) = sent_at {
             let freshness = update.freshness_ms.map(|ms| Duration::from_millis(ms.into()));
             let age = freshness.map(|freshness| freshness + now.saturating_sub(sent_at));
             connection.newest_as_of = age.and_then(|age| now.checked_sub(age));
             self.choice.answered(now, home, HomeAnswer { age });
         }
-        // What comes by itself counts from the last report: a lease runs from the moment that it was asked for.
-        let asked_at = sent_at.or(self.connections.get(&home).and_then(|to| to.last_sent)).unwrap_or(now);
         if followed {
-            self.source = GrantSource::home(update.home.0);
-            for granted in &update.grants {
-                self.shared.quota_renewed(asked_at, &granted.tenant, granted.grant);
-            }
+            // An update that answers nothing counts from the last report: a lease runs from when it was asked for.
+            let asked_at = sent_at.or(last_report_at).unwrap_or(now);
+            self.renew_quotas(asked_at, &update);
             self.apply(update);
             self.confirm_configuration();
-        } else {
-            self.hold(home, update);
+        } else if !connection.defer(update) {
+            self.on_closed(home);
         }
     }
 
-    /// Keeps an update of a home that may be followed soon. None may be left out: the home tells nothing twice.
-    fn hold(&mut self, home: SocketAddr, update: HomeUpdate) {
-        let Some(connection) = self.connections.get_mut(&home) else { return };
-        if connection.held.len() < HELD {
-            connection.held.push_back(update);
-        } else {
-            self.closed(home);
+    fn renew_quotas(&mut self, asked_at: Now, update: &HomeUpdate) {
+        self.grant_source = GrantSource::home(update.home.0);
+        for granted in &update.grants {
+            self.shared.quota_renewed(asked_at, &granted.tenant, granted.grant);
         }
     }
 
@@ -249,138 +214,47 @@
             self.choice.learned(now, &candidates);
         }
         if let Some(changes) = update.changes {
-            if self.builder.apply(now, changes) {
-                self.shared.publish_backends(self.builder.table());
+            if self.backends.apply(now, changes) {
+                self.shared.publish_backends(self.backends.table());
             }
         }
-        self.count.told(now, update.gateways);
-        if let Some(count) = self.count.count() {
+        self.gateway_count.told(now, update.gateways);
+        if let Some(count) = self.gateway_count.count() {
             self.shared.set_gateways(count as usize);
         }
-        let newer = |than: &Option<ConfigurationUpdate>, one: &ConfigurationUpdate| {
-            than.as_ref().is_none_or(|held| held.mark < one.mark)
-        };
-        if let Some(told) = update.configuration.filter(|told| newer(&self.held_configuration, told)) {
-            self.held_configuration = Some(told);
+        if let Some(configuration) = update.configuration {
+            self.configuration.receive(configuration);
         }
-        let fresh = self.choice.age(now).is_some_and(|age| age <= FRESH);
-        if fresh || self.configuration.is_some() {
-            self.publish_held_configuration();
+        let fresh = self.choice.age(now).is_some_and(|age| age <= FRESH_WITHIN);
+        if fresh || self.configuration.in_force().is_some() {
+            self.configuration.publish_pending(&self.shared, &self.log);
         }
     }
 
-    /// All that the home has told up to its last answer is applied: what is in force is as new as its home's state.
+    /// All that the home has sent up to its last answer is applied: what is in force is as new as its home's state.
     fn confirm_configuration(&self) {
-        let in_force = self.configuration.is_some() && self.held_configuration.is_none() && !self.unreadable;
+        if !self.configuration.newest_is_in_force() {
+            return;
+        }
         let home = self.choice.following().and_then(|home| self.connections.get(&home));
-        if let Some(as_of) = home.and_then(|home| home.newest_as_of).filter(|_| in_force) {
+        if let Some(as_of) = home.and_then(|home| home.newest_as_of) {
             self.shared.confirm_routing(as_of);
         }
     }
 
-    /// A process that hears of nothing fresh serves by the newest that it has heard of.
+    /// A process that hears of nothing fresh serves by the newest configuration that it has received.
     fn publish_stale_configuration(&mut self) {
-        if self.now() >= FIRST_STALE {
-            self.publish_held_configuration();
-        }
-    }
-
-    /// Configurations are taken upwards only.
-    fn publish_held_configuration(&mut self) {
-        let Some(held) = self.held_configuration.take() else { return };
-        if Some(held.mark) <= self.configuration {
-            return;
-        }
-        match compiled(&held.document) {
-            Ok(table) => {
-                info!(self.log, "configuration in force"; "generation" => held.mark.generation);
-                self.shared.publish_routing(Arc::new(table));
-                self.configuration = Some(held.mark);
-                self.unreadable = false;
-            }
-            Err(cause) => {
-                warn!(self.log, "a configuration can't be read"; "cause" => cause);
-                self.unreadable = true;
-            }
-        }
-    }
-}
-
-impl Connection {
-    fn new(reports: Sender<GatewayReport>) -> Self {
-        Connection {
-            reports,
-            sent: VecDeque::new(),
-            last_sent: None,
-            newest_as_of: None,
-            held: VecDeque::new(),
-        }
-    }
-
-    /// When the report of that number was sent. Older ones are forgotten.
-    fn answered(&mut self, number: u64) -> Option<Now> {
-        while let Some((sent, at)) = self.sent.front().copied() {
-            if sent > number {
-                return None;
-            }
-            self.sent.pop_front();
-            if sent == number {
-                return Some(at);
-            }
+        if self.now() >= STALE_CONFIGURATION_AFTER {
+            self.configuration.publish_pending(&self.shared, &self.log);
         }
-        None
     }
 }
 
-/// The table of a configuration as its home told it, or why there is none.
-fn compiled(told: &[u8]) -> Result<RoutingTable, String> {
-    let document = decompress(told).map_err(|wrong| wrong.to_string())?;
-    let configuration = crankpick_configuration::read(&document).map_err(|wrong| wrong.to_string())?;
-    Ok(RoutingTable::compile(&configuration))
-}
-
 fn demands(shared: &Shared, source: GrantSource) -> Vec<TenantDemand> {
     let demands = shared.quota_demands(source).into_iter();
     demands.map(|asked| TenantDemand { tenant: asked.tenant, demand: asked.demand }).collect()
 }
 
-async fn talk(
-    home: SocketAddr,
-    name: GatewayIdentity,
-    options: DialOptions,
-    mut reports: Receiver<GatewayReport>,
-    events: &Sender<Event>,
-) -> Result<(), ProtocolError> {
-    let (read, write) = dial(home, options).await?.into_split();
-    let mut writer = FrameWriter::new(write);
-    writer.send(&Handshake::new(Caller::Gateway(name))).await?;
-    let mut reader = FrameReader::new(read);
-    let hear = async {
-        loop {
-            match timeout(SILENCE, reader.next::<HomeUpdate>()).await {
-                Ok(Ok(Some(update))) => {
-                    if events.send(Event::Told(home, update)).await.is_err() {
-                        return Ok(());
-                    }
-                }
-                Ok(Ok(None)) => return Ok(()),
-                Ok(Err(wrong)) => return Err(wrong),
-                Err(_) => return Err(ProtocolError::Stalled),
-            }
-        }
-    };
-    let tell = async {
-        while let Some(report) = reports.recv().await {
-            writer.send(&report).await?;
-        }
-        Ok(())
-    };
-    tokio::select! {
-        heard = hear => heard,
-        told = tell => told,
-    }
-}
-
 #[cfg(test)]
 #[path = "../tests/unit/home_link.rs"]
 mod tests;
--- a/crates/system/tests/unit/home_link.rs
+++ b/crates/system/tests/unit/home_link.rs
@@ -3,6 +3,7 @@
 use std::path::Path;
 
 use crankpick_gateway::GatewaySettings;
+use crankpick_protocol::{ConfigurationUpdate, ConfigurationVersion};
 use crankpick_registry::{GatewayTotal, ProcessId};
 use tokio::time::advance;
 
@@ -53,7 +54,7 @@
         advance(Duration::from_secs(1)).await;
         let now = link.now();
         let Some(HomeAction::Dial(home)) = link.choice.poll(now).pop() else { panic!("a home is dialled") };
-        let (reports, queue) = channel(REPORTS);
+        let (reports, queue) = channel(MAX_QUEUED_REPORTS);
         link.connections.insert(home, Connection::new(reports));
         Linked { link, shared, home, _reports: queue }
     }
@@ -62,11 +63,11 @@
     async fn answered(&mut self, freshness_ms: Option<u32>, told: Option<ConfigurationUpdate>) {
         self.link.report(self.home, true);
         advance(LITTLE).await;
-        let answer = HomeUpdate { configuration: told, ..update(self.link.last_report, freshness_ms) };
-        self.link.told(self.home, answer);
+        let answer = HomeUpdate { configuration: told, ..update(self.link.last_report_number, freshness_ms) };
+        self.link.on_update(self.home, answer);
         let now = self.link.now();
         for action in self.link.choice.poll(now) {
-            self.link.act(action);
+            self.link.carry_out(action);
         }
     }
 }
