--- a/crates/system/src/cli.rs
+++ b/crates/system/src/cli.rs
@@ -7,11 +7,13 @@
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use crankpick_settings::Settings;
 use slog::Logger;
+use snafu::{ensure, ResultExt};
 
+use crate::error::{InvalidConfigurationSnafu, NoStatusSnafu, SystemError};
 use crate::signals;
 
-/// How long a status may take.
-const STATUS_PATIENCE: Duration = Duration::from_secs(3);
+/// How long a process may take to answer `status`.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A router fleet for language models.
 #[derive(Parser)]
@@ -50,7 +52,7 @@
     }
 }
 
-/// What to do.
+/// The verbs of the command line.
 #[derive(Subcommand)]
 pub enum Command {
     /// Carry clients' requests and streams
@@ -63,7 +65,7 @@
     Status(Status),
 }
 
-/// A role's start.
+/// Arguments of a role.
 #[derive(Args)]
 pub struct Role {
     /// The settings file
@@ -72,21 +74,21 @@
 }
 
 impl Role {
-    /// Where the settings stand.
-    pub fn settings(&self) -> Result<(PathBuf, Settings), String> {
-        let settings = Settings::read(&self.settings).map_err(|wrong| wrong.to_string())?;
+    /// The settings, and the path of their file, which is watched later.
+    pub fn settings(&self) -> Result<(PathBuf, Settings), SystemError> {
+        let settings = Settings::read(&self.settings)?;
         Ok((self.settings.clone(), settings))
     }
 }
 
-/// What to check.
+/// Arguments of `check`.
 #[derive(Args)]
 pub struct Check {
     /// The file
     file: PathBuf,
 }
 
-/// Whom to ask.
+/// Arguments of `status`.
 #[derive(Args)]
 pub struct Status {
     /// The control address of any process of the control plane
@@ -95,21 +97,21 @@
 }
 
 /// Runs a process of the control plane.
-pub fn control_plane((path, settings): &(PathBuf, Settings), log: Logger) -> Result<(), String> {
+pub fn control_plane((path, settings): &(PathBuf, Settings), log: Logger) -> Result<(), SystemError> {
     let runtime = signals::runtime()?;
     runtime.block_on(async {
         let terminate = signals::terminated()?;
-        let ended = crankpick_control_plane::run(settings, path, terminate, log).await;
-        ended.map_err(|wrong| wrong.to_string())
+        crankpick_control_plane::run(settings, path, terminate, log).await?;
+        Ok(())
     })
 }
 
 /// Checks a file.
-pub fn check(check: &Check) -> Result<(), String> {
+pub fn check(check: &Check) -> Result<(), SystemError> {
     if check.file.extension().is_some_and(|extension| extension == "json") {
         return check_configuration(check);
     }
-    let settings = Settings::read(&check.file).map_err(|wrong| wrong.to_string())?;
+    let settings = Settings::read(&check.file)?;
     println!("{}: sound", check.file.display());
     for hint in hints(&settings) {
         println!("{hint}");
@@ -137,25 +139,22 @@
     hints
 }
 
-fn check_configuration(check: &Check) -> Result<(), String> {
+fn check_configuration(check: &Check) -> Result<(), SystemError> {
     let findings = crankpick_configuration::check(&check.file);
-    if findings.is_empty() {
-        println!("{}: sound", check.file.display());
-        return Ok(());
-    }
-    let lines: Vec<String> = findings.iter().map(ToString::to_string).collect();
-    Err(lines.join("\n"))
+    ensure!(findings.is_empty(), InvalidConfigurationSnafu { findings });
+    println!("{}: sound", check.file.display());
+    Ok(())
 }
 
 /// Prints a status.
-pub fn status(status: &Status) -> Result<(), String> {
+pub fn status(status: &Status) -> Result<(), SystemError> {
     let runtime = signals::runtime()?;
-    let place = format!("http://{}/v1/status", status.at);
-    let text = runtime.block_on(async {
-        let client = reqwest::Client::builder().timeout(STATUS_PATIENCE).build()?;
-        client.get(place).send().await?.error_for_status()?.text().await
+    let url = format!("http://{}/v1/status", status.at);
+    let text: Result<String, reqwest::Error> = runtime.block_on(async {
+        let client = reqwest::Client::builder().timeout(STATUS_TIMEOUT).build()?;
+        client.get(url).send().await?.error_for_status()?.text().await
     });
-    println!("{}", text.map_err(|wrong: reqwest::Error| format!("SYS-101: no status: {wrong}"))?);
+    println!("{}", text.context(NoStatusSnafu)?);
     Ok(())
 }
 
--- a/crates/system/src/gate.rs
+++ b/crates/system/src/gate.rs
@@ -8,25 +8,30 @@
 use crankpick_quota::{QuotaBounds, RetryBudgetSettings};
 use crankpick_settings::Settings;
 use slog::{error, info, Logger};
+use snafu::{OptionExt, ResultExt};
 use tokio::net::TcpListener;
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
+use crate::error::{FrontMissingSnafu, FrontUnavailableSnafu, ReadyMissingSnafu, SystemError};
 use crate::home_link::HomeLink;
 use crate::{ready, signals};
 
 /// Between two lines of counters in the log.
-const COUNTERS: Duration = Duration::from_secs(5);
+const COUNTERS_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Runs until SIGTERM and the end of what was in flight.
-pub fn run((_, settings): &(PathBuf, Settings), log: Logger) -> Result<(), String> {
+/// Runs until SIGTERM and the end of the requests in flight.
+///
+/// # Errors
+/// The settings lack an address, or it can't be bound (SYS-102 to SYS-106).
+pub fn run((_, settings): &(PathBuf, Settings), log: Logger) -> Result<(), SystemError> {
     signals::runtime()?.block_on(serve(settings, log))
 }
 
-async fn serve(settings: &Settings, log: Logger) -> Result<(), String> {
+async fn serve(settings: &Settings, log: Logger) -> Result<(), SystemError> {
     let started = Instant::now();
-    let front = settings.listen.front.ok_or("SYS-104: the settings lack listen.front")?;
-    let ready_at = settings.listen.ready.ok_or("SYS-105: the settings lack listen.ready")?;
-    let listener = TcpListener::bind(front).await.map_err(|wrong| format!("SYS-106: {front}: {wrong}"))?;
+    let front = settings.listen.front.context(FrontMissingSnafu)?;
+    let ready_at = settings.listen.ready.context(ReadyMissingSnafu)?;
+    let listener = TcpListener::bind(front).await.context(FrontUnavailableSnafu { address: front })?;
     let terminate = signals::terminated()?;
     let shared = Shared::new(gateway_settings(settings, started), log.clone());
     tokio::spawn(announce_readiness(ready_at, Arc::clone(&shared), log.clone()));
@@ -68,13 +73,13 @@
 }
 
 async fn announce_readiness(address: std::net::SocketAddr, shared: Arc<Shared>, log: Logger) {
-    if let Err(wrong) = ready::serve(address, shared).await {
-        error!(log, "readiness can't be asked for"; "code" => "SYS-107", "cause" => %wrong);
+    if let Err(cause) = ready::serve(address, shared).await {
+        error!(log, "readiness can't be asked for"; "code" => "SYS-107", "cause" => %cause);
     }
 }
 
 async fn log_counters(shared: Arc<Shared>, log: Logger) {
-    let mut ticks = interval(COUNTERS);
+    let mut ticks = interval(COUNTERS_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
--- a/crates/system/src/main.rs
+++ b/crates/system/src/main.rs
@@ -1,6 +1,7 @@
 //! The fleet's programs: one command line for each role.
 
 mod cli;
+mod error;
 mod gate;
 mod home_link;
 mod log;
@@ -14,6 +15,7 @@
 use slog::error;
 
 use crate::cli::{Cli, Command};
+use crate::error::SystemError;
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
@@ -26,7 +28,7 @@
     }
 }
 
-fn run(cli: &Cli) -> Result<(), String> {
+fn run(cli: &Cli) -> Result<(), SystemError> {
     let log = log::to_stderr(cli.level());
     match &cli.command {
         Command::Gate(role) => gate::run(&role.settings()?, log),
--- a/crates/system/src/signals.rs
+++ b/crates/system/src/signals.rs
@@ -2,19 +2,25 @@
 
 use std::future::Future;
 
+use snafu::ResultExt;
 use tokio::runtime::{Builder, Runtime};
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
+use crate::error::{RuntimeSnafu, SignalsSnafu, SystemError};
+
 /// A runtime on this thread.
-pub fn runtime() -> Result<Runtime, String> {
-    Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .map_err(|wrong| format!("SYS-102: no runtime: {wrong}"))
+///
+/// # Errors
+/// The system gives no descriptors for it (SYS-102).
+pub fn runtime() -> Result<Runtime, SystemError> {
+    Builder::new_current_thread().enable_all().build().context(RuntimeSnafu)
 }
 
-/// Ends with SIGTERM.
-pub fn terminated() -> Result<impl Future<Output = ()>, String> {
+/// A future that ends with SIGTERM. SIGHUP, which ends a process by default, is ignored: files are watched instead.
+///
+/// # Errors
+/// The handlers can't be installed (SYS-103).
+pub fn terminated() -> Result<impl Future<Output = ()>, SystemError> {
     let mut terminate = listen(SignalKind::terminate())?;
     let mut hangup = listen(SignalKind::hangup())?;
     Ok(async move {
@@ -27,7 +33,7 @@
     })
 }
 
-/// Hears one kind of signal.
-pub fn listen(kind: SignalKind) -> Result<Signal, String> {
-    signal(kind).map_err(|wrong| format!("SYS-103: signals can't be heard: {wrong}"))
+/// A stream of one kind of signal.
+fn listen(kind: SignalKind) -> Result<Signal, SystemError> {
+    signal(kind).context(SignalsSnafu)
 }
