--- a/crates/control-plane/src/host/calls.rs
+++ b/crates/control-plane/src/host/calls.rs
@@ -2,7 +2,7 @@
 
 use crankpick_configuration::{ConfigurationError, Patch};
 use crankpick_control::{Command, Input};
-use crankpick_registry::{Announcement, Heard, HeartbeatError, HeartbeatState};
+use crankpick_registry::{Announcement, HeartbeatError, HeartbeatState, RegistrationOutcome};
 use tokio::sync::oneshot;
 
 use super::Host;
@@ -87,7 +87,7 @@
     pub(super) fn heard(
         &mut self,
         id: &str,
-        heard: Result<Heard, HeartbeatError>,
+        heard: Result<RegistrationOutcome, HeartbeatError>,
         ending: bool,
         reply: oneshot::Sender<HeartbeatAnswer>,
     ) {
--- a/crates/control-plane/src/host/peers.rs
+++ b/crates/control-plane/src/host/peers.rs
@@ -74,9 +74,9 @@
         let came = changes.iter().any(|change| matches!(change, PeerChange::Up(..)));
         self.peers_changed(changes);
         if recall || came {
-            let whole = self.parts.registry.whole(now);
+            let whole = self.parts.registry.full_state(now);
             self.tell_all(from, whole);
-            let whole = self.parts.gateways.whole();
+            let whole = self.parts.gateways.full_state();
             self.tell_all(from, whole);
         }
     }
--- a/crates/gateway/tests/serving/stand_ins.rs
+++ b/crates/gateway/tests/serving/stand_ins.rs
@@ -283,7 +283,7 @@
         .iter()
         .enumerate()
         .map(|(number, address)| BackendRecord::ready(&format!("b{number}"), service, *address, "z", 8));
-    Arc::new(BackendTable::of(records))
+    Arc::new(BackendTable::from_records(records))
 }
 
 /// A client's connection.
--- a/crates/registry/src/announcement.rs
+++ b/crates/registry/src/announcement.rs
@@ -1,4 +1,4 @@
-//! What control-plane processes flood to each other.
+//! The updates that control-plane processes send to each other.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,14 +6,14 @@
 use crate::record::BackendRecord;
 use crate::ProcessId;
 
-/// Changes that one process tells all others. Also used, in several batches, for the whole state.
+/// Records that one process sends to all others. The full state is sent as several of these.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// The process that tells.
+    /// The process that sends it.
     pub from: ProcessId,
-    /// Backends, joined by the receiver into what it knows.
+    /// Records of backends; the receiver merges them into its own.
     pub backends: Vec<BackendRecord>,
-    /// Gateways, joined likewise.
+    /// Records of gateways; the receiver merges them into its own.
     pub gateways: Vec<GatewayRecord>,
 }
 
@@ -28,15 +28,16 @@
         Self { from, backends: Vec::new(), gateways }
     }
 
-    /// Whether there is nothing to tell.
+    /// Whether it has no records.
     pub fn is_empty(&self) -> bool {
         self.backends.is_empty() && self.gateways.is_empty()
     }
 }
 
-/// Sums over what a process knows, by which two processes find where they differ.
+/// Checksums over all backends of a process. Two processes compare them to find where they differ
+/// (anti-entropy).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// One sum for each bucket of ids.
+    /// One checksum for each bucket of backend ids.
     pub sums: Vec<u64>,
 }
--- a/crates/registry/src/gateway_count.rs
+++ b/crates/registry/src/gateway_count.rs
@@ -1,4 +1,4 @@
-//! The number of gateways, as a gateway is told it.
+//! The number of gateways, as a gateway learns it from its homes.
 
 use std::time::Duration;
 
@@ -6,20 +6,20 @@
 
 use crate::Now;
 
-/// A lower number must be told for this long before it is believed.
-const FALL_AFTER: Duration = Duration::from_secs(4);
+/// A lower number is adopted only after it has been received for this long.
+const DECREASE_DELAY: Duration = Duration::from_secs(4);
 
 /// The number of gateways, as a control-plane process counts them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayTotal {
     /// The number of gateways.
     pub count: u32,
-    /// Whether the process has been up, and connected, for long enough to know all.
+    /// Whether the process has been running and connected for long enough to know all gateways.
     pub settled: bool,
 }
 
-/// The number of gateways that a gateway goes by. Each one's share of a fleet's budget is its inverse, so
-/// the number rises at once and falls late.
+/// The number of gateways by which a gateway divides fleet-wide budgets. It rises at once and falls late,
+/// since a number that is too low would let all gateways together exceed the budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GatewayCount {
     count: Option<u32>,
@@ -27,13 +27,13 @@
 }
 
 impl GatewayCount {
-    /// Nothing told yet.
+    /// A count without any number yet.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes what a home told.
-    pub fn told(&mut self, now: Now, total: GatewayTotal) {
+    /// Takes the number that a home has sent.
+    pub fn update(&mut self, now: Now, total: GatewayTotal) {
         let known = self.count.unwrap_or(0);
         if total.count >= known && total.count > 0 {
             self.count = Some(total.count);
@@ -45,13 +45,13 @@
             return;
         }
         let since = *self.lower_since.get_or_insert(now);
-        if now.saturating_sub(since) >= FALL_AFTER {
+        if now.saturating_sub(since) >= DECREASE_DELAY {
             self.count = Some(total.count.max(1));
             self.lower_since = None;
         }
     }
 
-    /// The number of gateways, this one included; none before any home told it.
+    /// The number of gateways, this one included; `None` before any home has sent one.
     pub fn count(&self) -> Option<u32> {
         self.count
     }
--- a/crates/registry/src/heartbeat.rs
+++ b/crates/registry/src/heartbeat.rs
@@ -1,82 +1,82 @@
-//! A backend's heartbeat as it comes over the wire, and its check.
+//! The heartbeat of a backend as it sends it, and its validation.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// The longest id, service, zone or generation that is taken.
+/// The maximum length of an id, service, zone, generation, stage, model or adapter.
 const MAX_NAME_BYTES: usize = 128;
-/// The most models that one backend may list.
+/// The maximum number of models of one backend.
 const MAX_MODELS: usize = 64;
-/// The most adapters that one model may list.
-const MAX_LORAS: usize = 256;
+/// The maximum number of adapters of one model.
+const MAX_ADAPTERS: usize = 256;
 
-/// The body of `PUT /v1/instances/ID`. Unknown fields are skipped.
+/// The JSON body of `PUT /v1/instances/ID`. Unknown fields are ignored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The service that the backend belongs to.
     pub service: String,
-    /// Where it listens.
+    /// The address that it accepts connections on.
     pub address: SocketAddr,
-    /// The zone it runs in.
+    /// The zone that it runs in.
     #[serde(default)]
     pub zone: String,
     /// The generation of its software.
     #[serde(default)]
     pub generation: String,
-    /// Requests that it works on at once.
+    /// The number of requests that it works on at once.
     #[serde(default)]
     pub slots: u32,
-    /// What it says of itself.
+    /// Whether it takes new requests.
     pub state: HeartbeatState,
-    /// How much longer it stays slow from its start, in milliseconds.
+    /// How much longer its warm-up lasts, in milliseconds.
     #[serde(default)]
     pub cold_left_ms: u32,
-    /// Its stage, for engines that have one.
+    /// Its stage, if its engine has stages.
     #[serde(default)]
     pub stage: String,
-    /// The models it has loaded.
+    /// The models that it has loaded.
     #[serde(default)]
     pub models: Vec<LoadedModel>,
-    /// Rises with each call of this backend.
+    /// The number of this heartbeat; rises with each call of this backend.
     pub seq: u64,
 }
 
-/// What a backend says of itself.
+/// The state that a backend reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HeartbeatState {
-    /// Takes requests.
+    /// Takes new requests.
     Ready,
-    /// Will end: no new requests.
+    /// Shuts down gracefully: takes no new requests.
     Draining,
 }
 
 /// A model that a backend has loaded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadedModel {
-    /// The name that requests give.
+    /// The name by which requests select it.
     pub name: String,
     /// The version of its weights.
     #[serde(default)]
     pub generation: u64,
-    /// Its adapters.
+    /// The names of its adapters.
     #[serde(default)]
     pub loras: Vec<String>,
 }
 
-/// Why a heartbeat is not taken.
+/// The reason why a heartbeat or a sign-off is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatError {
-    /// The id is empty, too long or holds other than visible ASCII characters.
+    /// The id is empty, too long, or has characters other than visible ASCII.
     Id,
-    /// A name is empty or too long.
+    /// The service is empty, or a name is too long.
     Name,
-    /// The address has no port or no host.
+    /// The address has port 0 or an unspecified host.
     Address,
-    /// Too many models or adapters.
+    /// There are too many models or adapters, or the name of one is too long.
     Models,
-    /// The registry holds as many backends as it may.
+    /// The registry has the maximum number of backends.
     Full,
 }
 
@@ -109,36 +109,36 @@
 impl std::error::Error for HeartbeatError {}
 
 impl Heartbeat {
-    /// Whether this heartbeat of `id` may be taken.
+    /// Validates this heartbeat of the backend `id`.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first rule that the id or the heartbeat breaks; never [`HeartbeatError::Full`].
     pub fn check(&self, id: &str) -> Result<(), HeartbeatError> {
         check_id(id)?;
-        let named = !self.service.is_empty();
-        let bounded = [&self.service, &self.zone, &self.generation, &self.stage]
-            .iter()
-            .all(|name| name.len() <= MAX_NAME_BYTES);
-        if !named || !bounded {
+        let names = [&self.service, &self.zone, &self.generation, &self.stage];
+        let names_bounded = names.iter().all(|name| name.len() <= MAX_NAME_BYTES);
+        if self.service.is_empty() || !names_bounded {
             return Err(HeartbeatError::Name);
         }
         if self.address.port() == 0 || self.address.ip().is_unspecified() {
             return Err(HeartbeatError::Address);
         }
-        let models_bounded = self.models.len() <= MAX_MODELS && self.models.iter().all(LoadedModel::bounded);
-        if models_bounded {
-            Ok(())
-        } else {
-            Err(HeartbeatError::Models)
+        if self.models.len() > MAX_MODELS || !self.models.iter().all(LoadedModel::is_bounded) {
+            return Err(HeartbeatError::Models);
         }
+        Ok(())
     }
 }
 
 impl LoadedModel {
-    fn bounded(&self) -> bool {
+    fn is_bounded(&self) -> bool {
         let names = std::iter::once(&self.name).chain(&self.loras);
-        self.loras.len() <= MAX_LORAS && names.into_iter().all(|name| name.len() <= MAX_NAME_BYTES)
+        self.loras.len() <= MAX_ADAPTERS && names.into_iter().all(|name| name.len() <= MAX_NAME_BYTES)
     }
 }
 
-/// Whether `id` may name a backend.
+/// Validates the id of a backend.
 pub(crate) fn check_id(id: &str) -> Result<(), HeartbeatError> {
     let visible = id.bytes().all(|byte| byte.is_ascii_graphic());
     if id.is_empty() || id.len() > MAX_NAME_BYTES || !visible {
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -3,8 +3,8 @@
 //! A [`Registry`] lives in each control-plane process. It takes heartbeats, floods what changed to its
 //! peers as [`Announcement`]s, and answers subscribers with [`Changes`] since a [`Cursor`]. A gateway
 //! merges these into a [`TableBuilder`] and publishes immutable [`BackendTable`]s. [`GatewayLeases`] and
-//! [`GatewayCount`] do the same for the gateways themselves; [`HomeChoice`] decides which control-plane
-//! process a gateway follows.
+//! [`GatewayCount`] do the same for the gateways themselves; a [`HomeSelector`] chooses which control-plane
+//! process a gateway follows, its home.
 
 mod announcement;
 mod changes;
@@ -12,7 +12,7 @@
 mod gateway_count;
 mod gateway_leases;
 mod heartbeat;
-mod home_choice;
+mod home_selector;
 mod peers;
 mod record;
 mod registry;
@@ -25,15 +25,15 @@
 pub use gateway_count::{GatewayCount, GatewayTotal};
 pub use gateway_leases::{GatewayId, GatewayLeases, GatewayRecord};
 pub use heartbeat::{Heartbeat, HeartbeatError, HeartbeatState, LoadedModel};
-pub use home_choice::{HomeAction, HomeAnswer, HomeCandidate, HomeChoice, HomeChoiceSettings};
+pub use home_selector::{HomeAction, HomeCandidate, HomeSelector, HomeSelectorSettings, HomeStatus};
 pub use record::{BackendRecord, BackendState};
-pub use registry::{Heard, Registry};
+pub use registry::{RegistrationOutcome, Registry};
 pub use settings::RegistrySettings;
 pub use table::{BackendTable, TableBuilder};
 
-/// Time since the process began, by its steady clock.
+/// The time since the start of the process, by its monotonic clock.
 pub type Now = std::time::Duration;
 
-/// One start of a control-plane process: drawn at random at each start.
+/// One incarnation of a control-plane process: drawn at random at each start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
 pub struct ProcessId(pub u64);
--- a/crates/registry/src/record.rs
+++ b/crates/registry/src/record.rs
@@ -1,7 +1,7 @@
-//! What is known of one backend, and how two words about it are joined.
+//! The record of one backend, and the merge of two records of the same backend.
 //!
-//! The join is commutative, associative and idempotent: processes that have heard the same words in any
-//! order, any number of times, hold the same record.
+//! The merge is commutative, associative and idempotent: processes that have received the same updates, in
+//! any order and any number of times, have the same record.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,70 +11,71 @@
 use crate::heartbeat::{Heartbeat, HeartbeatState, LoadedModel};
 use crate::{Now, ProcessId};
 
-/// Where a backend stands.
+/// The state of a backend, derived from the other fields of its record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum BackendState {
     /// Takes requests.
     Ready,
-    /// Has said that it will end: no new requests.
+    /// Shuts down gracefully: takes no new requests.
     Draining,
-    /// Has not been heard for a while.
+    /// Has sent no heartbeat for longer than the timeout.
     Silent,
-    /// Has ended, or another backend holds its address.
+    /// Has ended, or another backend uses its address.
     Gone,
 }
 
-/// What was heard of a backend, whatever it said. A later variant supersedes an earlier one at one `seq`.
+/// Whether a backend's heartbeats arrive. Of one `seq`, a later variant supersedes an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub(crate) enum Presence {
-    /// It was heard.
-    Heard,
-    /// It was not heard any more.
+    /// Its heartbeats arrive.
+    #[serde(rename = "Heard")]
+    Present,
+    /// Its heartbeats have stopped.
     Silent,
-    /// Another backend was heard at its address, or it was silent for too long.
+    /// Another backend uses its address, or it was silent for too long.
     Displaced,
 }
 
-/// What is known of one backend.
+/// The record of one backend.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendRecord {
     /// The incarnation: new at each start of a backend.
     pub id: String,
     /// The service that it belongs to.
     pub service: String,
-    /// Where it listens.
+    /// The address that it accepts connections on.
     pub address: SocketAddr,
     /// The zone it runs in.
     pub zone: String,
     /// The generation of its software.
     pub generation: String,
-    /// Requests that it works on at once.
+    /// The number of requests that it works on at once.
     pub slots: u32,
-    /// Where it stands.
+    /// Its state.
     pub state: BackendState,
-    /// Whether it ever said that it drains. Sticky, and kept while it is silent.
+    /// Whether it has ever said that it drains. Never reset, not even while it is silent.
     pub draining: bool,
-    /// Whether it has signed off. Sticky: an id does not come back.
+    /// Whether it has signed off. Never reset: an id is not used again.
     pub deleted: bool,
-    /// Whether it was heard as of `seq`, whatever it said.
+    /// Whether its heartbeats arrive, as of `seq`.
     pub(crate) presence: Presence,
-    /// The `seq` of its heartbeat that this record tells of.
+    /// The `seq` of the newest heartbeat that this record is based on.
     pub seq: u64,
-    /// The control-plane process that heard it.
+    /// The control-plane process that received this heartbeat.
     pub origin: ProcessId,
-    /// How much longer it stays slow, in milliseconds, as of the moment that this was sent.
+    /// How much longer its warm-up lasts, in milliseconds, from the time at which this was sent.
     pub cold_left_ms: u32,
-    /// When it is warm, by the clock of the process that holds this record. Not sent.
+    /// When its warm-up ends, by the clock of the process that has this record. Not sent.
     #[serde(skip)]
     pub warm_at: Now,
-    /// Its stage, for engines that have one.
+    /// Its stage, if its engine has stages.
     pub stage: String,
-    /// The models it has loaded.
+    /// The models that it has loaded.
     pub models: Vec<LoadedModel>,
 }
 
 impl BackendRecord {
-    /// A backend that takes requests, as a test or a tool may state it.
+    /// A record of a ready backend, for tests and tools.
     pub fn ready(id: &str, service: &str, address: SocketAddr, zone: &str, slots: u32) -> Self {
         Self {
             id: id.to_owned(),
@@ -86,7 +87,7 @@
             state: BackendState::Ready,
             draining: false,
             deleted: false,
-            presence: Presence::Heard,
+            presence: Presence::Present,
             seq: 0,
             origin: ProcessId(0),
             cold_left_ms: 0,
@@ -96,8 +97,8 @@
         }
     }
 
-    /// The record that a heartbeat gives.
-    pub(crate) fn heard(now: Now, origin: ProcessId, id: &str, heartbeat: Heartbeat) -> Self {
+    /// The record of a backend whose heartbeat `origin` has received at `now`.
+    pub(crate) fn from_heartbeat(now: Now, origin: ProcessId, id: &str, heartbeat: Heartbeat) -> Self {
         let mut record = Self {
             id: id.to_owned(),
             service: heartbeat.service,
@@ -108,7 +109,7 @@
             state: BackendState::Ready,
             draining: heartbeat.state == HeartbeatState::Draining,
             deleted: false,
-            presence: Presence::Heard,
+            presence: Presence::Present,
             seq: heartbeat.seq,
             origin,
             cold_left_ms: heartbeat.cold_left_ms,
@@ -116,33 +117,33 @@
             stage: heartbeat.stage,
             models: heartbeat.models,
         };
-        record.settle_state();
+        record.update_state();
         record
     }
 
-    /// The record of a backend of which nothing is known but that it signed off.
+    /// The record of a backend of which only its sign-off is known.
     pub(crate) fn signed_off(origin: ProcessId, id: &str) -> Self {
-        let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
-        let mut record = Self { origin, deleted: true, ..Self::ready(id, "", nowhere, "", 0) };
-        record.settle_state();
+        let unknown_address = SocketAddr::from(([0, 0, 0, 0], 0));
+        let mut record = Self { origin, deleted: true, ..Self::ready(id, "", unknown_address, "", 0) };
+        record.update_state();
         record
     }
 
-    /// Whether new requests may be sent here: ready, or silent without ever having said that it drains.
+    /// Whether new requests may be sent to it: it is ready, or silent and has never said that it drains.
     pub fn may_receive(&self) -> bool {
         matches!(self.state, BackendState::Ready | BackendState::Silent) && !self.draining
     }
 
-    /// Whether the backend is believed to run.
-    pub fn alive(&self) -> bool {
+    /// Whether the backend is believed to run: it is ready or draining.
+    pub fn is_alive(&self) -> bool {
         matches!(self.state, BackendState::Ready | BackendState::Draining)
     }
 
-    /// Joins another word about the same id into this one; whether anything changed.
-    pub(crate) fn join(&mut self, now: Now, other: &Self) -> bool {
+    /// Merges another record of the same id into this one; returns whether anything changed.
+    pub(crate) fn merge(&mut self, now: Now, other: &Self) -> bool {
         let draining = self.draining || other.draining;
         let deleted = self.deleted || other.deleted;
-        let newer = other.order() > self.order();
+        let newer = other.precedence() > self.precedence();
         if !newer && draining == self.draining && deleted == self.deleted {
             return false;
         }
@@ -151,41 +152,42 @@
         }
         self.draining = draining;
         self.deleted = deleted;
-        self.settle_state();
+        self.update_state();
         true
     }
 
-    /// This record, come over the wire at `now`.
+    /// This record as received at `now`: the rest of the warm-up becomes a time of the local clock.
     pub(crate) fn received(mut self, now: Now) -> Self {
         self.warm_at = now + Duration::from_millis(self.cold_left_ms.into());
         self
     }
 
-    /// Sets whether it was heard as of `seq`.
+    /// Sets whether its heartbeats arrive, as of `seq`.
     pub(crate) fn set_presence(&mut self, seq: u64, presence: Presence) {
         self.seq = seq;
         self.presence = presence;
-        self.settle_state();
+        self.update_state();
     }
 
-    /// Makes the state agree with the words that it follows from.
-    pub(crate) fn settle_state(&mut self) {
+    /// Derives the state from the fields that decide it.
+    pub(crate) fn update_state(&mut self) {
         self.state = match self.presence {
             _ if self.deleted => BackendState::Gone,
             Presence::Displaced => BackendState::Gone,
             Presence::Silent => BackendState::Silent,
-            Presence::Heard if self.draining => BackendState::Draining,
-            Presence::Heard => BackendState::Ready,
+            Presence::Present if self.draining => BackendState::Draining,
+            Presence::Present => BackendState::Ready,
         };
     }
 
-    /// A later word supersedes an earlier one; at one `seq`, the worse presence does.
-    fn order(&self) -> (u64, Presence, ProcessId) {
+    /// The order in which records supersede each other: the newer heartbeat does; of one heartbeat, the worse
+    /// presence.
+    fn precedence(&self) -> (u64, Presence, ProcessId) {
         (self.seq, self.presence, self.origin)
     }
 
-    /// Whether both tell the same of the backend, whenever and by whomever it was heard.
-    pub(crate) fn same_content(&self, other: &Self) -> bool {
+    /// Whether both describe the backend alike. Ignores which heartbeat they are based on, and its receiver.
+    pub(crate) fn has_same_content(&self, other: &Self) -> bool {
         self.service == other.service
             && self.address == other.address
             && self.zone == other.zone
@@ -197,8 +199,8 @@
     }
 
     /// The record as it is sent at `now`.
-    pub(crate) fn for_wire(&self, now: Now) -> Self {
-        let cold_left = self.warm_at.saturating_sub(now).as_millis();
-        Self { cold_left_ms: u32::try_from(cold_left).unwrap_or(u32::MAX), ..self.clone() }
+    pub(crate) fn to_wire(&self, now: Now) -> Self {
+        let warm_up_left = self.warm_at.saturating_sub(now).as_millis();
+        Self { cold_left_ms: u32::try_from(warm_up_left).unwrap_or(u32::MAX), ..self.clone() }
     }
 }
--- a/crates/registry/src/settings.rs
+++ b/crates/registry/src/settings.rs
@@ -1,39 +1,40 @@
-//! The bounds of a registry, derived from the deployment's heartbeat.
+//! The limits and timeouts of a registry, derived from the heartbeat interval of the deployment.
 
 use std::time::Duration;
 
-/// Backends that fall silent for longer than this many heartbeats are told to be silent.
+/// A backend is silent after this many heartbeat intervals without a heartbeat.
 const SILENCE_HEARTBEATS: f64 = 2.5;
-/// A process that has been up for fewer heartbeats says nothing about absence.
+/// A process states absence only after it has been running for this many heartbeat intervals.
 const GRACE_HEARTBEATS: u32 = 3;
 
-/// The bounds of a registry.
+/// The limits and timeouts of a registry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegistrySettings {
     /// The interval of the backends' heartbeats.
     pub heartbeat: Duration,
-    /// A backend unheard for this long is silent.
+    /// A backend without a heartbeat for longer than this is silent.
     pub silence: Duration,
-    /// How long after its start, or after a doubt, a process says nothing about absence.
+    /// How long a process does not state absence after its start, a freeze or an isolation.
     pub grace: Duration,
-    /// A peer gone for this long is dead: what only it heard is silent.
+    /// A peer that is unreachable for this long is dead: backends that send it their heartbeats are shown as
+    /// silent.
     pub peer_death: Duration,
-    /// A pause of the caller longer than this means that the process itself may have been frozen.
+    /// A longer pause between two calls means that this process may have been frozen.
     pub freeze: Duration,
-    /// How long a backend that ended is remembered.
+    /// How long the tombstone of an ended backend is kept.
     pub tombstone: Duration,
-    /// How long a silent backend is remembered.
+    /// A backend that is silent for longer than this has ended.
     pub silent_memory: Duration,
-    /// The most ended backends remembered.
+    /// The maximum number of tombstones.
     pub max_tombstones: usize,
-    /// The most backends known at once.
+    /// The maximum number of backends, including tombstones.
     pub max_backends: usize,
-    /// The most records in one announcement.
+    /// The maximum number of records in one announcement.
     pub max_batch: usize,
 }
 
 impl RegistrySettings {
-    /// The bounds for a deployment whose backends send a heartbeat at this interval.
+    /// The settings for a deployment whose backends send heartbeats at the interval `heartbeat`.
     pub fn new(heartbeat: Duration) -> Self {
         Self {
             heartbeat,
--- a/crates/registry/src/store.rs
+++ b/crates/registry/src/store.rs
@@ -7,119 +7,121 @@
 use crate::record::{BackendRecord, BackendState, Presence};
 use crate::{Now, ProcessId};
 
-/// A record and what only this process knows about it.
+/// A record, and what only this process knows about it.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
-    /// The joined record.
+    /// The merged record.
     pub record: BackendRecord,
-    /// The process that heard it is out of reach: subscribers are told that it is silent.
+    /// Whether the process that received its heartbeats is unreachable: subscribers then see it as silent.
     pub orphaned: bool,
     /// When the record last changed.
     pub changed_at: Now,
-    number: u64,
+    change_number: u64,
 }
 
 impl Entry {
-    /// The record as subscribers are told it.
-    pub fn presented(&self, now: Now) -> BackendRecord {
-        let mut record = self.record.for_wire(now);
-        if self.orphaned && record.presence == Presence::Heard {
+    /// The record as it is sent to subscribers.
+    pub fn subscriber_view(&self, now: Now) -> BackendRecord {
+        let mut record = self.record.to_wire(now);
+        if self.orphaned && record.presence == Presence::Present {
             record.set_presence(record.seq, Presence::Silent);
         }
         record
     }
 
-    /// Whether it has ended and is only remembered.
-    pub fn ended(&self) -> bool {
+    /// Whether the backend has ended, and is kept only so that no late update revives it.
+    pub fn is_tombstone(&self) -> bool {
         self.record.state == BackendState::Gone
     }
 }
 
-/// The records of a registry.
+/// The records of a registry, by id and by the number of their last change.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RecordStore {
     entries: BTreeMap<Arc<str>, Entry>,
-    by_number: BTreeMap<u64, Arc<str>>,
-    newest: u64,
-    /// Subscribers that have read less than this may have missed a forgotten record.
-    floor: u64,
+    ids_by_change: BTreeMap<u64, Arc<str>>,
+    newest_change: u64,
+    /// The highest change number of a removed entry. A subscriber with a lower cursor may have missed it.
+    newest_removed: u64,
 }
 
 impl RecordStore {
-    /// What is known of `id`.
+    /// The entry of `id`.
     pub fn get(&self, id: &str) -> Option<&Entry> {
         self.entries.get(id)
     }
 
-    /// The number of records, ended ones included.
+    /// The number of records, including tombstones.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// The number of the newest change.
-    pub fn newest(&self) -> u64 {
-        self.newest
+    /// The number of the newest change; 0 before the first one.
+    pub fn newest_change(&self) -> u64 {
+        self.newest_change
     }
 
-    /// All entries by id.
+    /// All entries, in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (&Arc<str>, &Entry)> {
         self.entries.iter()
     }
 
-    /// Whether a subscriber that has read up to `number` can be told only what changed since.
-    pub fn reaches_back_to(&self, number: u64) -> bool {
-        number >= self.floor && number <= self.newest
+    /// Whether all changes after `change` are still stored, so that a subscriber can resume there.
+    pub fn covers_changes_since(&self, change: u64) -> bool {
+        change >= self.newest_removed && change <= self.newest_change
     }
 
-    /// The entries that changed after `number`, oldest change first.
-    pub fn since(&self, number: u64) -> impl Iterator<Item = &Entry> {
-        let range = (Bound::Excluded(number), Bound::Unbounded);
-        self.by_number.range(range).filter_map(|(_, id)| self.entries.get(id))
+    /// The entries that changed after `change`, oldest change first.
+    pub fn changed_since(&self, change: u64) -> impl Iterator<Item = &Entry> {
+        let range = (Bound::Excluded(change), Bound::Unbounded);
+        self.ids_by_change.range(range).filter_map(|(_, id)| self.entries.get(id))
     }
 
-    /// Sets the record of its id: a change.
+    /// Inserts or replaces the record of its id, as a new change.
     pub fn put(&mut self, now: Now, record: BackendRecord) {
-        let id = self.key(&record.id);
-        self.newest += 1;
-        let entry = Entry { record, orphaned: false, changed_at: now, number: self.newest };
+        let id = self.shared_id(&record.id);
+        self.newest_change += 1;
+        let entry = Entry { record, orphaned: false, changed_at: now, change_number: self.newest_change };
         if let Some(former) = self.entries.insert(id.clone(), entry) {
-            self.by_number.remove(&former.number);
+            self.ids_by_change.remove(&former.change_number);
         }
-        self.by_number.insert(self.newest, id);
+        self.ids_by_change.insert(self.newest_change, id);
     }
 
-    /// The process that heard these is within reach again.
+    /// Ends the orphaning of all backends whose heartbeats `origin` received.
     pub fn clear_orphans_of(&mut self, now: Now, origin: ProcessId) {
-        let held = self.entries.iter().filter(|(_, entry)| entry.orphaned && entry.record.origin == origin);
-        let orphans: Vec<Arc<str>> = held.map(|(id, _)| id.clone()).collect();
-        for id in orphans {
+        let orphans = self.entries.iter().filter(|(_, entry)| entry.orphaned);
+        let orphans = orphans.filter(|(_, entry)| entry.record.origin == origin);
+        let ids: Vec<Arc<str>> = orphans.map(|(id, _)| id.clone()).collect();
+        for id in ids {
             self.set_orphaned(now, &id, false);
         }
     }
 
-    /// Says whether the process that heard `id` is out of reach: a change for subscribers alone.
+    /// Sets whether `id` is orphaned, as a new change: subscribers see it, peers do not.
     pub fn set_orphaned(&mut self, now: Now, id: &str, orphaned: bool) {
         let Some(entry) = self.entries.get_mut(id) else {
             return;
         };
-        self.newest += 1;
-        let former = std::mem::replace(&mut entry.number, self.newest);
+        self.newest_change += 1;
+        let former_change = std::mem::replace(&mut entry.change_number, self.newest_change);
         entry.orphaned = orphaned;
         entry.changed_at = now;
-        if let Some(id) = self.by_number.remove(&former) {
-            self.by_number.insert(self.newest, id);
+        if let Some(id) = self.ids_by_change.remove(&former_change) {
+            self.ids_by_change.insert(self.newest_change, id);
         }
     }
 
-    /// Forgets `id` altogether.
-    pub fn forget(&mut self, id: &str) {
+    /// Removes the entry of `id`.
+    pub fn remove(&mut self, id: &str) {
         if let Some(entry) = self.entries.remove(id) {
-            self.by_number.remove(&entry.number);
-            self.floor = self.floor.max(entry.number);
+            self.ids_by_change.remove(&entry.change_number);
+            self.newest_removed = self.newest_removed.max(entry.change_number);
         }
     }
 
-    fn key(&self, id: &str) -> Arc<str> {
+    /// The stored allocation of `id`, or a new one.
+    fn shared_id(&self, id: &str) -> Arc<str> {
         match self.entries.get_key_value(id) {
             Some((key, _)) => key.clone(),
             None => Arc::from(id),
--- a/crates/registry/src/table.rs
+++ b/crates/registry/src/table.rs
@@ -1,4 +1,4 @@
-//! A gateway's view of the backends: immutable tables, built from what its homes tell.
+//! A gateway's view of the backends: immutable tables, built from the updates of its homes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -8,12 +8,12 @@
 use crate::record::{BackendRecord, BackendState, Presence};
 use crate::{Now, ProcessId};
 
-/// How long an ended backend is remembered, so that no late word brings it back.
-const TOMBSTONE: Duration = Duration::from_secs(60);
-/// The most ended backends remembered.
+/// How long the tombstone of an ended backend is kept, so that no late update revives it.
+const TOMBSTONE_DURATION: Duration = Duration::from_secs(60);
+/// The maximum number of tombstones.
 const MAX_TOMBSTONES: usize = 4_096;
 
-/// All backends that have not ended, by service. Never changed: a newer table takes its place.
+/// All backends that have not ended, by service. Immutable: a newer table replaces it.
 #[derive(Clone, Debug, Default)]
 pub struct BackendTable {
     services: BTreeMap<String, Arc<[Arc<BackendRecord>]>>,
@@ -21,8 +21,8 @@
 }
 
 impl BackendTable {
-    /// A table of these backends.
-    pub fn of(records: impl IntoIterator<Item = BackendRecord>) -> Self {
+    /// A table of these backends, with the number 0.
+    pub fn from_records(records: impl IntoIterator<Item = BackendRecord>) -> Self {
         Self::from_shared(0, records.into_iter().map(Arc::new))
     }
 
@@ -35,12 +35,13 @@
         Self { services, number }
     }
 
-    /// The backends of a service, in the order of their ids: ready, draining and silent ones.
+    /// The backends of a service (ready, draining and silent ones) in the order of their ids; none if the
+    /// service is not known.
     pub fn service(&self, service: &str) -> &[Arc<BackendRecord>] {
         self.services.get(service).map_or(&[], |records| records)
     }
 
-    /// The backends of a service, to be kept.
+    /// The backends of a service, as a shared slice.
     pub fn shared_service(&self, service: &str) -> Option<Arc<[Arc<BackendRecord>]>> {
         self.services.get(service).cloned()
     }
@@ -65,38 +66,40 @@
         self.services.is_empty()
     }
 
-    /// Rises with each table of one builder.
+    /// The number of this table; rises with each table of one builder.
     pub fn number(&self) -> u64 {
         self.number
     }
 }
 
-/// A backend as the gateway holds it.
+/// A record, and when its backend ended, which makes it a tombstone.
 #[derive(Clone, Debug)]
-struct Held {
+struct BuilderEntry {
     record: Arc<BackendRecord>,
     ended_at: Option<Now>,
 }
 
-/// Builds tables from what one home after the other tells. What a former home told is kept until the
-/// present one, once it may speak about absence, contradicts it. That a backend drains is never unlearned.
+/// Builds tables from the updates of one home after the other. Records of a former home are kept until the
+/// current one, once it is settled, has sent all its records without them. A backend that once drained stays
+/// draining.
 #[derive(Clone, Debug, Default)]
 pub struct TableBuilder {
-    held: BTreeMap<String, Held>,
+    entries: BTreeMap<String, BuilderEntry>,
     cursor: Option<Cursor>,
-    /// What the present home, a registry of this incarnation, has not told of.
+    /// The incarnation of the current home's registry.
     home: Option<ProcessId>,
-    untold: BTreeSet<String>,
+    /// The backends that the current home has not sent yet.
+    unconfirmed: BTreeSet<String>,
     table: Arc<BackendTable>,
 }
 
 impl TableBuilder {
-    /// A builder that knows nothing.
+    /// A builder without any record.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Where the present home is to read on.
+    /// The cursor from which the home is to send changes; `None` before the first update.
     pub fn cursor(&self) -> Option<Cursor> {
         self.cursor
     }
@@ -106,87 +109,88 @@
         self.table.clone()
     }
 
-    /// Takes in what a home told; whether there is a new table.
+    /// Applies an update of a home; returns whether there is a new table.
     pub fn apply(&mut self, now: Now, changes: Changes) -> bool {
-        self.follow(&changes);
+        self.expect_confirmation(&changes);
         let mut changed = false;
-        for word in changes.records {
-            self.untold.remove(&word.id);
-            changed |= self.take(now, word);
+        for update in changes.records {
+            self.unconfirmed.remove(&update.id);
+            changed |= self.merge(now, update);
         }
         if changes.settled {
-            changed |= self.drop_untold(now);
+            changed |= self.end_unconfirmed(now);
         }
         self.cursor = Some(changes.cursor);
-        changed |= self.forget_old(now);
+        self.remove_tombstones(now);
         if changed {
-            let records = self.held.values().map(|held| held.record.clone());
+            let records = self.entries.values().map(|entry| entry.record.clone());
             self.table = Arc::new(BackendTable::from_shared(self.table.number + 1, records));
         }
         changed
     }
 
-    /// A home that tells everything anew has not told yet of what is held.
-    fn follow(&mut self, changes: &Changes) {
+    /// A home that is new, or that sends all its records, has yet to confirm each known backend.
+    fn expect_confirmation(&mut self, changes: &Changes) {
         let home = changes.cursor.incarnation;
-        if !changes.whole && self.home == Some(home) {
+        if !changes.full && self.home == Some(home) {
             return;
         }
         self.home = Some(home);
-        self.untold =
-            self.held.iter().filter(|(_, held)| held.ended_at.is_none()).map(|(id, _)| id.clone()).collect();
-    }
-
-    /// Takes one word; whether it changed anything.
-    fn take(&mut self, now: Now, word: BackendRecord) -> bool {
-        let mut word = word.received(now);
-        if let Some(held) = self.held.get(&word.id) {
-            let (draining, deleted) =
-                (word.draining || held.record.draining, word.deleted || held.record.deleted);
-            if word.seq < held.record.seq {
-                word = BackendRecord::clone(&held.record);
+        let running = self.entries.iter().filter(|(_, entry)| entry.ended_at.is_none());
+        self.unconfirmed = running.map(|(id, _)| id.clone()).collect();
+    }
+
+    /// Merges one record; returns whether it changed anything.
+    fn merge(&mut self, now: Now, update: BackendRecord) -> bool {
+        let mut update = update.received(now);
+        if let Some(known) = self.entries.get(&update.id).map(|entry| &entry.record) {
+            let draining = update.draining || known.draining;
+            let deleted = update.deleted || known.deleted;
+            if update.seq < known.seq {
+                update = BackendRecord::clone(known);
             }
-            word.draining = draining;
-            word.deleted = deleted;
-            word.settle_state();
-            if word.same_content(&held.record) && word.seq == held.record.seq {
+            update.draining = draining;
+            update.deleted = deleted;
+            update.update_state();
+            if update.has_same_content(known) && update.seq == known.seq {
                 return false;
             }
         }
-        let ended_at = (word.state == BackendState::Gone).then_some(now);
-        self.held.insert(word.id.clone(), Held { record: Arc::new(word), ended_at });
+        let ended_at = (update.state == BackendState::Gone).then_some(now);
+        self.entries.insert(update.id.clone(), BuilderEntry { record: Arc::new(update), ended_at });
         true
     }
 
-    /// The home speaks about absence: what it has not told of is gone. Any later word brings it back.
-    fn drop_untold(&mut self, now: Now) -> bool {
-        let untold = std::mem::take(&mut self.untold);
-        let changed = !untold.is_empty();
-        for id in untold {
-            if let Some(held) = self.held.get_mut(&id) {
-                let mut record = BackendRecord::clone(&held.record);
+    /// Ends the backends that a settled home has not sent. Their `seq` becomes 0, so that any later update
+    /// revives them.
+    fn end_unconfirmed(&mut self, now: Now) -> bool {
+        let unconfirmed = std::mem::take(&mut self.unconfirmed);
+        let changed = !unconfirmed.is_empty();
+        for id in unconfirmed {
+            if let Some(entry) = self.entries.get_mut(&id) {
+                let mut record = BackendRecord::clone(&entry.record);
                 record.set_presence(0, Presence::Displaced);
-                *held = Held { record: Arc::new(record), ended_at: Some(now) };
+                *entry = BuilderEntry { record: Arc::new(record), ended_at: Some(now) };
             }
         }
         changed
     }
 
-    /// Forgets tombstones by age, and the oldest ones beyond a number. Tables do not hold them.
-    fn forget_old(&mut self, now: Now) -> bool {
-        let mut ended: Vec<(Now, String)> = Vec::new();
-        for (id, held) in &self.held {
-            if let Some(ended_at) = held.ended_at {
-                ended.push((ended_at, id.clone()));
+    /// Removes the tombstones that are too old, and the oldest ones beyond the maximum number. Tables do not
+    /// contain them, so this makes no new table.
+    fn remove_tombstones(&mut self, now: Now) {
+        let mut tombstones: Vec<(Now, String)> = Vec::new();
+        for (id, entry) in &self.entries {
+            if let Some(ended_at) = entry.ended_at {
+                tombstones.push((ended_at, id.clone()));
             }
         }
-        ended.sort();
-        let surplus = ended.len().saturating_sub(MAX_TOMBSTONES);
-        for (position, (ended_at, id)) in ended.into_iter().enumerate() {
-            if position < surplus || now.saturating_sub(ended_at) > TOMBSTONE {
-                self.held.remove(&id);
+        tombstones.sort();
+        let surplus = tombstones.len().saturating_sub(MAX_TOMBSTONES);
+        for (index, (ended_at, id)) in tombstones.into_iter().enumerate() {
+            if index < surplus || now.saturating_sub(ended_at) > TOMBSTONE_DURATION {
+                self.entries.remove(&id);
             }
         }
-        false
     }
 }
--- a/crates/registry/tests/gateways.rs
+++ b/crates/registry/tests/gateways.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use crankpick_registry::{
-    GatewayCount, GatewayId, GatewayLeases, GatewayTotal, HomeAction, HomeAnswer, HomeCandidate, HomeChoice,
-    HomeChoiceSettings, ProcessId,
+    GatewayCount, GatewayId, GatewayLeases, GatewayTotal, HomeAction, HomeCandidate, HomeSelector,
+    HomeSelectorSettings, HomeStatus, ProcessId,
 };
 
 fn at(milliseconds: u64) -> Duration {
@@ -24,8 +24,8 @@
         (GatewayLeases::new(at(0), ProcessId(1)), GatewayLeases::new(at(0), ProcessId(2)));
     first.peer_up(at(0), ProcessId(2));
     second.peer_up(at(0), ProcessId(1));
-    let word = first.renew(at(100), GatewayId(7), "n", "z", 1).unwrap();
-    second.merge(at(100), &word);
+    let update = first.renew(at(100), GatewayId(7), "n", "z", 1).unwrap();
+    second.merge(at(100), &update);
     assert_eq!(second.total(at(100)), GatewayTotal { count: 1, settled: false });
     for step in 1..20 {
         assert!(first.renew(at(100 + 250 * step), GatewayId(7), "n", "z", 1 + step).is_none());
@@ -46,8 +46,8 @@
     let mut ended = None;
     for time in (12_000..20_000).step_by(250) {
         ended = ended.or(second.tick(at(time)));
-        if let Some(word) = &ended {
-            first.merge(at(time), word);
+        if let Some(update) = &ended {
+            first.merge(at(time), update);
         }
     }
     assert_eq!((first.total(at(20_000)).count, second.total(at(20_000)).count), (0, 0));
@@ -94,16 +94,16 @@
 fn a_gateway_believes_a_lower_count_late() {
     let mut count = GatewayCount::new();
     assert_eq!(count.count(), None);
-    count.told(at(0), GatewayTotal { count: 13, settled: true });
-    count.told(at(100), GatewayTotal { count: 1, settled: false });
-    count.told(at(9_000), GatewayTotal { count: 2, settled: false });
+    count.update(at(0), GatewayTotal { count: 13, settled: true });
+    count.update(at(100), GatewayTotal { count: 1, settled: false });
+    count.update(at(9_000), GatewayTotal { count: 2, settled: false });
     assert_eq!(count.count(), Some(13));
-    count.told(at(9_100), GatewayTotal { count: 9, settled: true });
-    count.told(at(13_000), GatewayTotal { count: 9, settled: true });
+    count.update(at(9_100), GatewayTotal { count: 9, settled: true });
+    count.update(at(13_000), GatewayTotal { count: 9, settled: true });
     assert_eq!(count.count(), Some(13));
-    count.told(at(13_200), GatewayTotal { count: 9, settled: true });
+    count.update(at(13_200), GatewayTotal { count: 9, settled: true });
     assert_eq!(count.count(), Some(9));
-    count.told(at(13_300), GatewayTotal { count: 10, settled: false });
+    count.update(at(13_300), GatewayTotal { count: 10, settled: false });
     assert_eq!(count.count(), Some(10));
 }
 
@@ -119,35 +119,40 @@
     (0..count).map(|zone| HomeCandidate { address: address(zone), zone: format!("zone-{zone}") }).collect()
 }
 
-fn choice(zone: usize, seed: u64) -> HomeChoice {
-    let settings = HomeChoiceSettings {
+fn choice(zone: usize, seed: u64) -> HomeSelector {
+    let settings = HomeSelectorSettings {
         zone: format!("zone-{zone}"),
         regions: zones(25),
         seeds: (0..3).map(address).collect(),
     };
-    HomeChoice::new(at(0), settings, seed)
+    HomeSelector::new(at(0), settings, seed)
 }
 
-const FRESH: HomeAnswer = HomeAnswer { age: Some(Duration::from_millis(100)) };
-const STALE: HomeAnswer = HomeAnswer { age: Some(Duration::from_secs(3)) };
+const FRESH: HomeStatus = HomeStatus { configuration_age: Some(Duration::from_millis(100)) };
+const STALE: HomeStatus = HomeStatus { configuration_age: Some(Duration::from_secs(3)) };
 
 /// Polls each 50 ms and answers dials; the home that is followed in the end.
-fn settle(choice: &mut HomeChoice, from: u64, until: u64, answer: impl Fn(SocketAddr) -> Option<HomeAnswer>) {
+fn settle(
+    choice: &mut HomeSelector,
+    from: u64,
+    until: u64,
+    answer: impl Fn(SocketAddr) -> Option<HomeStatus>,
+) {
     for now in (from..until).step_by(50) {
         for action in choice.poll(at(now)) {
             if let HomeAction::Dial(home) = action {
                 match answer(home) {
-                    Some(answer) => choice.answered(at(now), home, answer),
-                    None => choice.failed(at(now), home),
+                    Some(answer) => choice.record_answer(at(now), home, answer),
+                    None => choice.record_failure(at(now), home),
                 }
             }
         }
-        if let Some(home) = choice.following() {
+        if let Some(home) = choice.followed_home() {
             match answer(home) {
-                Some(answer) => choice.answered(at(now), home, answer),
-                None => choice.failed(at(now), home),
+                Some(answer) => choice.record_answer(at(now), home, answer),
+                None => choice.record_failure(at(now), home),
             }
-            choice.learned(at(now), &candidates(25));
+            choice.set_members(at(now), &candidates(25));
         }
     }
 }
@@ -156,47 +161,48 @@
 fn the_own_zone_is_followed_then_the_region_then_the_rest() {
     let mut choice = choice(7, 3);
     settle(&mut choice, 0, 3_000, |_| Some(FRESH));
-    assert_eq!(choice.following(), Some(address(7)));
+    assert_eq!(choice.followed_home(), Some(address(7)));
     settle(&mut choice, 3_000, 6_000, |home| (home != address(7)).then_some(FRESH));
-    let followed = choice.following().unwrap();
+    let followed = choice.followed_home().unwrap();
     assert!((5..10).map(address).any(|region| region == followed), "{followed}");
     settle(&mut choice, 6_000, 12_000, |home| {
         (!(5..10).map(address).any(|near| near == home)).then_some(FRESH)
     });
-    assert!(choice.following().is_some());
+    assert!(choice.followed_home().is_some());
     settle(&mut choice, 12_000, 30_000, |_| Some(FRESH));
-    assert_eq!(choice.following(), Some(address(7)));
+    assert_eq!(choice.followed_home(), Some(address(7)));
 }
 
 #[test]
 fn a_stale_home_is_left_for_a_fresh_one_and_kept_if_there_is_none() {
     let mut choice = choice(1, 5);
     settle(&mut choice, 0, 3_000, |_| Some(FRESH));
-    assert_eq!(choice.following(), Some(address(1)));
+    assert_eq!(choice.followed_home(), Some(address(1)));
     settle(&mut choice, 3_000, 5_000, |home| Some(if home == address(1) { STALE } else { FRESH }));
-    assert_ne!(choice.following(), Some(address(1)));
-    let least_stale =
-        |home| HomeAnswer { age: Some(Duration::from_secs(if home == address(4) { 2 } else { 9 })) };
+    assert_ne!(choice.followed_home(), Some(address(1)));
+    let least_stale = |home| HomeStatus {
+        configuration_age: Some(Duration::from_secs(if home == address(4) { 2 } else { 9 })),
+    };
     settle(&mut choice, 5_000, 60_000, |home| Some(least_stale(home)));
-    assert_eq!(choice.following(), Some(address(4)));
+    assert_eq!(choice.followed_home(), Some(address(4)));
 }
 
 /// 1,100 gateways lose all 25 homes for 5 s.
 #[test]
 fn retries_of_a_whole_fleet_are_bounded() {
-    let mut gateways: Vec<HomeChoice> = (0..1_100).map(|index| choice(index % 25, index as u64)).collect();
+    let mut gateways: Vec<HomeSelector> = (0..1_100).map(|index| choice(index % 25, index as u64)).collect();
     let mut dials = vec![0_usize; 30];
     let mut homeless_until = 0;
     for now in (0..20_000).step_by(10) {
         let down = (10_000..15_000).contains(&now);
         for gateway in &mut gateways {
-            let followed = gateway.following();
+            let followed = gateway.followed_home();
             if let Some(home) = followed {
                 if down {
-                    gateway.failed(at(now), home);
+                    gateway.record_failure(at(now), home);
                 } else if now % 250 == 0 {
-                    gateway.answered(at(now), home, FRESH);
-                    gateway.learned(at(now), &candidates(25));
+                    gateway.record_answer(at(now), home, FRESH);
+                    gateway.set_members(at(now), &candidates(25));
                 }
             }
             for action in gateway.poll(at(now)) {
@@ -205,13 +211,13 @@
                 };
                 dials[now as usize / 1_000] += 1;
                 if down {
-                    gateway.failed(at(now), home);
+                    gateway.record_failure(at(now), home);
                 } else {
-                    gateway.answered(at(now), home, FRESH);
+                    gateway.record_answer(at(now), home, FRESH);
                 }
             }
         }
-        if now >= 15_000 && gateways.iter().any(|gateway| gateway.following().is_none()) {
+        if now >= 15_000 && gateways.iter().any(|gateway| gateway.followed_home().is_none()) {
             homeless_until = now;
         }
     }
@@ -233,22 +239,22 @@
     let (home, second) = (address(7), address(8));
     let mut choice = choice(7, seed);
     settle(&mut choice, 0, 8_000, |_| Some(FRESH));
-    assert_eq!(choice.following(), Some(home));
+    assert_eq!(choice.followed_home(), Some(home));
     // The isolation begins at any moment between two reports.
     let cut = 8_000 + seed % 250;
     for now in (8_000_u64..20_000).step_by(10) {
         if now % 250 == 0 {
             let age = Duration::from_millis(100 + now.saturating_sub(cut));
-            choice.answered(at(now), home, HomeAnswer { age: Some(age) });
+            choice.record_answer(at(now), home, HomeStatus { configuration_age: Some(age) });
         }
         for action in choice.poll(at(now)) {
             match action {
                 HomeAction::Dial(other) if second_is_silent && other == second => {}
-                HomeAction::Dial(other) => choice.answered(at(now), other, FRESH),
+                HomeAction::Dial(other) => choice.record_answer(at(now), other, FRESH),
                 HomeAction::Follow(_) | HomeAction::Close(_) => {}
             }
         }
-        if choice.following() != Some(home) {
+        if choice.followed_home() != Some(home) {
             return now - cut;
         }
     }
--- a/crates/registry/tests/path.rs
+++ b/crates/registry/tests/path.rs
@@ -20,9 +20,9 @@
     second.peer_up(now, ProcessId(1));
 
     let heartbeat: Heartbeat = serde_json::from_str(BODY).unwrap();
-    let heard = first.heartbeat(now, "i-7f3a91c2", heartbeat).unwrap();
-    assert!(heard.changed);
-    let bytes = rmp_serde::to_vec(&heard.announcement.unwrap()).unwrap();
+    let outcome = first.heartbeat(now, "i-7f3a91c2", heartbeat).unwrap();
+    assert!(outcome.changed);
+    let bytes = rmp_serde::to_vec(&outcome.announcement.unwrap()).unwrap();
     assert_eq!(second.merge(now, &rmp_serde::from_slice(&bytes).unwrap()), None);
 
     let mut builder = TableBuilder::new();
@@ -34,10 +34,10 @@
 
     let mut draining: Heartbeat = serde_json::from_str(&BODY.replace("ready", "draining")).unwrap();
     draining.seq = 5;
-    let heard = first.heartbeat(now, "i-7f3a91c2", draining).unwrap();
-    second.merge(now, &heard.announcement.unwrap());
+    let outcome = first.heartbeat(now, "i-7f3a91c2", draining).unwrap();
+    second.merge(now, &outcome.announcement.unwrap());
     let changes = second.changes_since(now, builder.cursor());
-    assert!(!changes.whole);
+    assert!(!changes.full);
     assert!(builder.apply(now, changes));
     assert_eq!(builder.table().service("huvo11a")[0].state, BackendState::Draining);
     assert!(second.changes_since(now, builder.cursor()).is_empty());
--- a/crates/registry/tests/rules.rs
+++ b/crates/registry/tests/rules.rs
@@ -150,7 +150,7 @@
     let mut first = registry(at(0), 1);
     first.heartbeat(at(100), "i", ready(1, 4)).unwrap();
     first.heartbeat(at(300), "i", ready(1, 6)).unwrap();
-    let mut silent = first.whole(at(300)).remove(0);
+    let mut silent = first.full_state(at(300)).remove(0);
     silent.backends[0].seq = 5;
     let mut elsewhere = registry(at(0), 2);
     elsewhere.heartbeat(at(100), "i", ready(1, 5)).unwrap();
@@ -247,7 +247,7 @@
     assert_eq!(registry.len(), 30);
     registry.tick(at(300));
     assert_eq!(registry.len(), 10);
-    assert!(!registry.changes_since(at(300), Some(cursor)).whole);
+    assert!(!registry.changes_since(at(300), Some(cursor)).full);
     tick_until(&mut registry, 400, 60_600);
     assert!(registry.is_empty());
     for number in 0..40 {
--- a/crates/registry/tests/serialized_format.rs
+++ b/crates/registry/tests/serialized_format.rs
@@ -188,9 +188,9 @@
 fn changes_and_cursors_keep_their_form() {
     let cursor = Cursor { incarnation: ProcessId(7), number: 81_234 };
     assert_message("cursor", &cursor);
-    let changes = Changes { cursor, whole: true, settled: false, records: vec![record()] };
+    let changes = Changes { cursor, full: true, settled: false, records: vec![record()] };
     assert_message("changes", &changes);
-    assert_message("changes-empty", &Changes { cursor, whole: false, settled: true, records: Vec::new() });
+    assert_message("changes-empty", &Changes { cursor, full: false, settled: true, records: Vec::new() });
 }
 
 /// Two processes of different builds compare digests, so the sums themselves are part of the form.
--- a/crates/registry/tests/sizes.rs
+++ b/crates/registry/tests/sizes.rs
@@ -33,8 +33,8 @@
     let mut one = 0;
     for number in 0..BACKENDS {
         let id = format!("i-{:08x}", 0x7f3a_0000 + number);
-        let heard = registry.heartbeat(now, &id, heartbeat(number, 4_000 + number)).unwrap();
-        one = bytes(&heard.announcement.unwrap());
+        let outcome = registry.heartbeat(now, &id, heartbeat(number, 4_000 + number)).unwrap();
+        one = bytes(&outcome.announcement.unwrap());
         let renewal = registry.heartbeat(now, &id, heartbeat(number, 9_000 + number)).unwrap();
         assert!(renewal.announcement.is_none());
     }
@@ -44,11 +44,11 @@
     let mut gateway = 0;
     for number in 0..GATEWAYS {
         let id = GatewayId(0x1234_5678_9abc_0000 + number);
-        let word = leases.renew(now, id, &format!("edge-hakata-a-{number}"), "hakata-a", 1_000);
-        gateway = bytes(&word.unwrap());
+        let update = leases.renew(now, id, &format!("edge-hakata-a-{number}"), "hakata-a", 1_000);
+        gateway = bytes(&update.unwrap());
     }
-    let leases_whole: usize = leases.whole().iter().map(bytes).sum();
-    let whole_batches: Vec<Announcement> = registry.whole(now);
+    let leases_whole: usize = leases.full_state().iter().map(bytes).sum();
+    let whole_batches: Vec<Announcement> = registry.full_state(now);
     let mut builder = TableBuilder::new();
     builder.apply(now, whole.clone());
 
--- a/crates/registry/tests/support/mod.rs
+++ b/crates/registry/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Control-plane processes, backends and gateways over an unreliable flood, in virtual time.
+//! Control-plane processes, backends and gateways over an unreliable broadcast, in virtual time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,14 +12,14 @@
 const PROCESSES: usize = 4;
 const GATEWAYS: usize = 3;
 
-/// How badly things go.
+/// How often faults happen.
 #[derive(Clone, Copy, Debug)]
-pub struct Trouble {
-    /// The part of floods that is lost, told twice, or delayed past others.
+pub struct FaultRates {
+    /// The fraction of announcements that is lost, repeated, or delayed past others.
     pub lost: f64,
     pub repeated: f64,
     pub delayed: f64,
-    /// The chance of each in one step.
+    /// The probability of each in one step.
     pub restart: f64,
     pub crash: f64,
     pub drain: f64,
@@ -52,13 +52,13 @@
     pub backends: Vec<Backend>,
     pub acknowledged_drains: BTreeSet<String>,
     pub log: Vec<String>,
-    trouble: Trouble,
-    floods: Vec<(usize, ProcessId, Announcement)>,
+    fault_rates: FaultRates,
+    in_flight: Vec<(usize, ProcessId, Announcement)>,
     ids: u64,
 }
 
 impl Fleet {
-    pub fn new(seed: u64, trouble: Trouble) -> Self {
+    pub fn new(seed: u64, fault_rates: FaultRates) -> Self {
         let mut fleet = Self {
             now: Duration::from_secs(1),
             random: fastrand::Rng::with_seed(seed),
@@ -67,8 +67,8 @@
             backends: Vec::new(),
             acknowledged_drains: BTreeSet::new(),
             log: Vec::new(),
-            trouble,
-            floods: Vec::new(),
+            fault_rates,
+            in_flight: Vec::new(),
             ids: 0,
         };
         for _ in 0..PROCESSES {
@@ -98,7 +98,7 @@
         self.backends.push(Backend { id, port, seq: 0, draining: false, alive: true, home, next_heartbeat });
     }
 
-    /// A process is connected to all others: both sides tell each other everything.
+    /// Connects a process to all others: both sides send each other their full state.
     fn connect(&mut self, process: usize) {
         let id = self.processes[process].registry.process();
         for peer in 0..PROCESSES {
@@ -109,34 +109,34 @@
             self.processes[process].registry.peer_up(self.now, peer_id);
             self.processes[peer].registry.peer_up(self.now, id);
             let (ours, theirs) = (
-                self.processes[process].registry.whole(self.now),
-                self.processes[peer].registry.whole(self.now),
+                self.processes[process].registry.full_state(self.now),
+                self.processes[peer].registry.full_state(self.now),
             );
-            ours.iter().for_each(|words| self.deliver(peer, words));
-            theirs.iter().for_each(|words| self.deliver(process, words));
+            ours.iter().for_each(|announcement| self.deliver(peer, announcement));
+            theirs.iter().for_each(|announcement| self.deliver(process, announcement));
         }
     }
 
-    /// One step of time, with whatever goes wrong in it.
+    /// One step of time, with its faults.
     pub fn step(&mut self) {
         self.now += Duration::from_millis(self.random.u64(50..250));
-        self.disturb();
+        self.inject_faults();
         self.heartbeats();
         self.ticks();
-        self.deliver_floods();
+        self.deliver_in_flight();
         self.exchange_digest();
         self.update_gateways();
         self.check();
     }
 
-    /// From now on nothing goes wrong.
-    pub fn calm(&mut self) {
-        self.trouble =
-            Trouble { lost: 0.0, repeated: 0.0, delayed: 0.0, restart: 0.0, crash: 0.0, drain: 0.0 };
+    /// Injects no more faults from now on.
+    pub fn stop_faults(&mut self) {
+        self.fault_rates =
+            FaultRates { lost: 0.0, repeated: 0.0, delayed: 0.0, restart: 0.0, crash: 0.0, drain: 0.0 };
     }
 
-    fn disturb(&mut self) {
-        if self.random.f64() < self.trouble.restart {
+    fn inject_faults(&mut self) {
+        if self.random.f64() < self.fault_rates.restart {
             let process = self.random.usize(..PROCESSES);
             self.restart(process);
         }
@@ -147,12 +147,12 @@
         }
         let chosen = running[self.random.usize(..running.len())];
         let draw = self.random.f64();
-        if draw < self.trouble.crash {
+        if draw < self.fault_rates.crash {
             self.log.push(format!("{} crashes", self.backends[chosen].id));
             self.backends[chosen].alive = false;
             let port = self.backends[chosen].port;
             self.start_backend(port);
-        } else if draw < self.trouble.crash + self.trouble.drain {
+        } else if draw < self.fault_rates.crash + self.fault_rates.drain {
             self.drain(chosen);
         }
     }
@@ -177,9 +177,9 @@
         if self.backends[index].draining {
             let (id, home) = (self.backends[index].id.clone(), self.backends[index].home);
             self.log.push(format!("{id} signs off"));
-            let heard = self.processes[home].registry.leave(self.now, &id).unwrap();
-            if let Some(words) = heard.announcement {
-                self.flood(home, words);
+            let outcome = self.processes[home].registry.leave(self.now, &id).unwrap();
+            if let Some(announcement) = outcome.announcement {
+                self.broadcast(home, announcement);
             }
             self.backends[index].alive = false;
             let port = self.backends[index].port;
@@ -208,56 +208,57 @@
         let backend = &self.backends[index];
         let (home, id) = (backend.home, backend.id.clone());
         let heartbeat = heartbeat_of(backend.port, backend.seq, backend.draining);
-        let heard = self.processes[home].registry.heartbeat(self.now, &id, heartbeat).unwrap();
-        let Some(words) = heard.announcement else {
+        let outcome = self.processes[home].registry.heartbeat(self.now, &id, heartbeat).unwrap();
+        let Some(announcement) = outcome.announcement else {
             return;
         };
         if !reliably {
-            return self.flood(home, words);
+            return self.broadcast(home, announcement);
         }
         // Draining is acknowledged when all within reach have it.
         for peer in (0..PROCESSES).filter(|peer| *peer != home) {
-            self.deliver(peer, &words);
+            self.deliver(peer, &announcement);
         }
         self.acknowledged_drains.insert(id);
     }
 
-    fn flood(&mut self, from: usize, words: Announcement) {
+    fn broadcast(&mut self, from: usize, announcement: Announcement) {
         for peer in (0..PROCESSES).filter(|peer| *peer != from) {
-            if self.random.f64() < self.trouble.lost {
+            if self.random.f64() < self.fault_rates.lost {
                 continue;
             }
             let to = self.processes[peer].registry.process();
-            self.floods.push((peer, to, words.clone()));
-            if self.random.f64() < self.trouble.repeated {
-                self.floods.push((peer, to, words.clone()));
+            self.in_flight.push((peer, to, announcement.clone()));
+            if self.random.f64() < self.fault_rates.repeated {
+                self.in_flight.push((peer, to, announcement.clone()));
             }
         }
     }
 
-    fn deliver_floods(&mut self) {
-        let mut floods = std::mem::take(&mut self.floods);
-        self.random.shuffle(&mut floods);
-        for (peer, to, words) in floods {
-            if self.random.f64() < self.trouble.delayed {
-                self.floods.push((peer, to, words));
+    fn deliver_in_flight(&mut self) {
+        let mut in_flight = std::mem::take(&mut self.in_flight);
+        self.random.shuffle(&mut in_flight);
+        for (peer, to, announcement) in in_flight {
+            if self.random.f64() < self.fault_rates.delayed {
+                self.in_flight.push((peer, to, announcement));
             } else if self.processes[peer].registry.process() == to {
-                self.deliver(peer, &words);
+                self.deliver(peer, &announcement);
             }
         }
     }
 
-    fn deliver(&mut self, to: usize, words: &Announcement) {
-        let words: Announcement = rmp_serde::from_slice(&rmp_serde::to_vec(words).unwrap()).unwrap();
-        if let Some(correction) = self.processes[to].registry.merge(self.now, &words) {
-            self.flood(to, correction);
+    fn deliver(&mut self, to: usize, announcement: &Announcement) {
+        let announcement: Announcement =
+            rmp_serde::from_slice(&rmp_serde::to_vec(announcement).unwrap()).unwrap();
+        if let Some(correction) = self.processes[to].registry.merge(self.now, &announcement) {
+            self.broadcast(to, correction);
         }
     }
 
     fn ticks(&mut self) {
         for process in 0..PROCESSES {
-            if let Some(words) = self.processes[process].registry.tick(self.now) {
-                self.flood(process, words);
+            if let Some(announcement) = self.processes[process].registry.tick(self.now) {
+                self.broadcast(process, announcement);
             }
         }
     }
@@ -268,8 +269,8 @@
             return;
         }
         let digest = self.processes[one].registry.digest();
-        for words in self.processes[other].registry.answer_digest(self.now, &digest) {
-            self.deliver(one, &words);
+        for announcement in self.processes[other].registry.answer_digest(self.now, &digest) {
+            self.deliver(one, &announcement);
         }
     }
 
@@ -284,7 +285,7 @@
         }
     }
 
-    /// What must hold at each moment.
+    /// The invariant after each step: no gateway sends to a backend whose draining was acknowledged.
     fn check(&self) {
         for (index, gateway) in self.gateways.iter().enumerate() {
             for record in gateway.builder.table().iter() {
@@ -298,7 +299,7 @@
         }
     }
 
-    /// What each process, and the gateways that follow it, hold to be the state of the running backends.
+    /// The states of the running backends, as each process and each gateway sees them.
     pub fn views(&self) -> Vec<BTreeMap<String, BackendState>> {
         let processes = self.processes.iter().map(|process| {
             let changes = process.registry.changes_since(self.now, None);
@@ -313,8 +314,8 @@
         processes.chain(gateways).collect()
     }
 
-    /// What is so.
-    pub fn truth(&self) -> BTreeMap<String, BackendState> {
+    /// The states of the running backends as they are.
+    pub fn running_backends(&self) -> BTreeMap<String, BackendState> {
         let running = self.backends.iter().filter(|backend| backend.alive);
         running
             .map(|backend| {
@@ -326,7 +327,7 @@
 }
 
 fn running<'a>(records: impl Iterator<Item = &'a BackendRecord>) -> BTreeMap<String, BackendState> {
-    records.filter(|record| record.alive()).map(|record| (record.id.clone(), record.state)).collect()
+    records.filter(|record| record.is_alive()).map(|record| (record.id.clone(), record.state)).collect()
 }
 
 pub fn heartbeat_of(port: u16, seq: u64, draining: bool) -> Heartbeat {
--- a/crates/system/src/home_link.rs
+++ b/crates/system/src/home_link.rs
@@ -13,7 +13,8 @@
 };
 use crankpick_quota::GrantSource;
 use crankpick_registry::{
-    GatewayCount, HomeAction, HomeAnswer, HomeCandidate, HomeChoice, HomeChoiceSettings, Now, TableBuilder,
+    GatewayCount, HomeAction, HomeCandidate, HomeSelector, HomeSelectorSettings, HomeStatus, Now,
+    TableBuilder,
 };
 use crankpick_settings::Settings;
 use slog::{info, warn, Logger};
@@ -60,7 +61,7 @@
     source: GrantSource,
     name: GatewayIdentity,
     options: DialOptions,
-    choice: HomeChoice,
+    choice: HomeSelector,
     connections: BTreeMap<SocketAddr, Connection>,
     events: Sender<Event>,
     queue: Receiver<Event>,
@@ -86,14 +87,14 @@
         };
         let seeds = settings.internal_seeds();
         let choice_settings =
-            HomeChoiceSettings { zone: settings.zone.clone(), regions: settings.zones.clone(), seeds };
+            HomeSelectorSettings { zone: settings.zone.clone(), regions: settings.zones.clone(), seeds };
         HomeLink {
             started,
             shared,
             source: GrantSource::home(0),
             name,
             options: DialOptions { from: settings.ip, within: CONNECT, user_timeout: USER_TIMEOUT },
-            choice: HomeChoice::new(started.elapsed(), choice_settings, fastrand::u64(..)),
+            choice: HomeSelector::new(started.elapsed(), choice_settings, fastrand::u64(..)),
             connections: BTreeMap::new(),
             events,
             queue,
@@ -120,7 +121,7 @@
                 self.report_all();
                 self.publish_stale_configuration();
             }
-            let wake = self.choice.wake_at(now).min(self.next_report);
+            let wake = self.choice.next_poll_at(now).min(self.next_report);
             tokio::select! {
                 event = self.queue.recv() => match event {
                     Some(Event::Told(home, update)) => self.told(home, update),
@@ -169,12 +170,12 @@
 
     fn closed(&mut self, home: SocketAddr) {
         if self.connections.remove(&home).is_some() {
-            self.choice.failed(self.now(), home);
+            self.choice.record_failure(self.now(), home);
         }
     }
 
     fn report_all(&mut self) {
-        let followed = self.choice.following();
+        let followed = self.choice.followed_home();
         let homes: Vec<SocketAddr> = self.connections.keys().copied().collect();
         for home in homes {
             self.report(home, Some(home) == followed);
@@ -207,12 +208,12 @@
         let now = self.now();
         let Some(connection) = self.connections.get_mut(&home) else { return };
         let sent_at = update.answers.and_then(|number| connection.answered(number));
-        let followed = self.choice.following() == Some(home);
+        let followed = self.choice.followed_home() == Some(home);
         if let Some(sent_at) = sent_at {
             let freshness = update.freshness_ms.map(|ms| Duration::from_millis(ms.into()));
             let age = freshness.map(|freshness| freshness + now.saturating_sub(sent_at));
             connection.newest_as_of = age.and_then(|age| now.checked_sub(age));
-            self.choice.answered(now, home, HomeAnswer { age });
+            self.choice.record_answer(now, home, HomeStatus { configuration_age: age });
         }
         // What comes by itself counts from the last report: a lease runs from the moment that it was asked for.
         let asked_at = sent_at.or(self.connections.get(&home).and_then(|to| to.last_sent)).unwrap_or(now);
@@ -246,14 +247,14 @@
                 .iter()
                 .map(|member| HomeCandidate { address: member.address, zone: member.zone.clone() })
                 .collect();
-            self.choice.learned(now, &candidates);
+            self.choice.set_members(now, &candidates);
         }
         if let Some(changes) = update.changes {
             if self.builder.apply(now, changes) {
                 self.shared.publish_backends(self.builder.table());
             }
         }
-        self.count.told(now, update.gateways);
+        self.count.update(now, update.gateways);
         if let Some(count) = self.count.count() {
             self.shared.set_gateways(count as usize);
         }
@@ -263,7 +264,7 @@
         if let Some(told) = update.configuration.filter(|told| newer(&self.held_configuration, told)) {
             self.held_configuration = Some(told);
         }
-        let fresh = self.choice.age(now).is_some_and(|age| age <= FRESH);
+        let fresh = self.choice.configuration_age(now).is_some_and(|age| age <= FRESH);
         if fresh || self.configuration.is_some() {
             self.publish_held_configuration();
         }
@@ -272,7 +273,7 @@
     /// All that the home has told up to its last answer is applied: what is in force is as new as its home's state.
     fn confirm_configuration(&self) {
         let in_force = self.configuration.is_some() && self.held_configuration.is_none() && !self.unreadable;
-        let home = self.choice.following().and_then(|home| self.connections.get(&home));
+        let home = self.choice.followed_home().and_then(|home| self.connections.get(&home));
         if let Some(as_of) = home.and_then(|home| home.newest_as_of).filter(|_| in_force) {
             self.shared.confirm_routing(as_of);
         }
