--- a/crates/system/src/home_link.rs
+++ b/crates/system/src/home_link.rs
@@ -12,7 +12,8 @@
 use crankpick_protocol::{DialOptions, GatewayIdentity, GatewayReport, HomeUpdate, TenantDemand};
 use crankpick_quota::GrantSource;
 use crankpick_registry::{
-    GatewayCount, HomeAction, HomeAnswer, HomeCandidate, HomeChoice, HomeChoiceSettings, Now, TableBuilder,
+    GatewayCount, HomeAction, HomeCandidate, HomeSelector, HomeSelectorSettings, HomeStatus, Now,
+    TableBuilder,
 };
 use crankpick_settings::Settings;
 use slog::{info, Logger};
@@ -40,7 +41,7 @@
     grant_source: GrantSource,
     identity: GatewayIdentity,
     options: DialOptions,
-    choice: HomeChoice,
+    selector: HomeSelector,
     connections: BTreeMap<SocketAddr, Connection>,
     events: Sender<Event>,
     queue: Receiver<Event>,
@@ -62,15 +63,15 @@
             zone: settings.zone.clone(),
         };
         let seeds = settings.internal_seeds();
-        let choice_settings =
-            HomeChoiceSettings { zone: settings.zone.clone(), regions: settings.zones.clone(), seeds };
+        let selector_settings =
+            HomeSelectorSettings { zone: settings.zone.clone(), regions: settings.zones.clone(), seeds };
         HomeLink {
             started,
             shared,
             grant_source: GrantSource::home(0),
             identity,
             options: DialOptions { from: settings.ip, within: CONNECT_TIMEOUT, user_timeout: USER_TIMEOUT },
-            choice: HomeChoice::new(started.elapsed(), choice_settings, fastrand::u64(..)),
+            selector: HomeSelector::new(started.elapsed(), selector_settings, fastrand::u64(..)),
             connections: BTreeMap::new(),
             events,
             queue,
@@ -87,7 +88,7 @@
     pub async fn run(mut self) {
         loop {
             let now = self.now();
-            for action in self.choice.poll(now) {
+            for action in self.selector.poll(now) {
                 self.carry_out(action);
             }
             if now >= self.next_report_at {
@@ -95,7 +96,7 @@
                 self.report_all();
                 self.publish_stale_configuration();
             }
-            let wake = self.choice.wake_at(now).min(self.next_report_at);
+            let wake = self.selector.next_poll_at(now).min(self.next_report_at);
             tokio::select! {
                 event = self.queue.recv() => match event {
                     Some(Event::Update(home, update)) => self.on_update(home, update),
@@ -126,7 +127,7 @@
         let (reports, queue) = channel(MAX_QUEUED_REPORTS);
         let (identity, options, events) = (self.identity.clone(), self.options, self.events.clone());
         tokio::spawn(async move {
-            // Whatever ended it, another dial is the choice's to make.
+            // Whatever ended it, another dial is the selector's to make.
             let _cause = connection::run(home, identity, options, queue, &events).await;
             let _ended = events.send(Event::Closed(home)).await;
         });
@@ -145,12 +146,12 @@
 
     fn on_closed(&mut self, home: SocketAddr) {
         if self.connections.remove(&home).is_some() {
-            self.choice.failed(self.now(), home);
+            self.selector.record_failure(self.now(), home);
         }
     }
 
     fn report_all(&mut self) {
-        let followed = self.choice.following();
+        let followed = self.selector.followed_home();
         let homes: Vec<SocketAddr> = self.connections.keys().copied().collect();
         for home in homes {
             self.report(home, Some(home) == followed);
@@ -175,7 +176,7 @@
 
     fn on_update(&mut self, home: SocketAddr, update: HomeUpdate) {
         let now = self.now();
-        let followed = self.choice.following() == Some(home);
+        let followed = self.selector.followed_home() == Some(home);
         let Some(connection) = self.connections.get_mut(&home) else { return };
         let last_report_at = connection.last_report_at;
         let sent_at = update.answers.and_then(|number| connection.take_sent_at(number));
@@ -183,7 +184,7 @@
             let freshness = update.freshness_ms.map(|ms| Duration::from_millis(ms.into()));
             let age = freshness.map(|freshness| freshness + now.saturating_sub(sent_at));
             connection.newest_as_of = age.and_then(|age| now.checked_sub(age));
-            self.choice.answered(now, home, HomeAnswer { age });
+            self.selector.record_answer(now, home, HomeStatus { configuration_age: age });
         }
         if followed {
             // An update that answers nothing counts from the last report: a lease runs from when it was asked for.
@@ -211,21 +212,21 @@
                 .iter()
                 .map(|member| HomeCandidate { address: member.address, zone: member.zone.clone() })
                 .collect();
-            self.choice.learned(now, &candidates);
+            self.selector.set_members(now, &candidates);
         }
         if let Some(changes) = update.changes {
             if self.backends.apply(now, changes) {
                 self.shared.publish_backends(self.backends.table());
             }
         }
-        self.gateway_count.told(now, update.gateways);
+        self.gateway_count.update(now, update.gateways);
         if let Some(count) = self.gateway_count.count() {
             self.shared.set_gateways(count as usize);
         }
         if let Some(configuration) = update.configuration {
             self.configuration.receive(configuration);
         }
-        let fresh = self.choice.age(now).is_some_and(|age| age <= FRESH_WITHIN);
+        let fresh = self.selector.configuration_age(now).is_some_and(|age| age <= FRESH_WITHIN);
         if fresh || self.configuration.in_force().is_some() {
             self.configuration.publish_pending(&self.shared, &self.log);
         }
@@ -236,7 +237,7 @@
         if !self.configuration.newest_is_in_force() {
             return;
         }
-        let home = self.choice.following().and_then(|home| self.connections.get(&home));
+        let home = self.selector.followed_home().and_then(|home| self.connections.get(&home));
         if let Some(as_of) = home.and_then(|home| home.newest_as_of) {
             self.shared.confirm_routing(as_of);
         }
--- a/crates/system/tests/unit/home_link.rs
+++ b/crates/system/tests/unit/home_link.rs
@@ -53,7 +53,7 @@
         let mut link = HomeLink::new(&settings, started, Arc::clone(&shared), log);
         advance(Duration::from_secs(1)).await;
         let now = link.now();
-        let Some(HomeAction::Dial(home)) = link.choice.poll(now).pop() else { panic!("a home is dialled") };
+        let Some(HomeAction::Dial(home)) = link.selector.poll(now).pop() else { panic!("a home is dialled") };
         let (reports, queue) = channel(MAX_QUEUED_REPORTS);
         link.connections.insert(home, Connection::new(reports));
         Linked { link, shared, home, _reports: queue }
@@ -66,7 +66,7 @@
         let answer = HomeUpdate { configuration: told, ..update(self.link.last_report_number, freshness_ms) };
         self.link.on_update(self.home, answer);
         let now = self.link.now();
-        for action in self.link.choice.poll(now) {
+        for action in self.link.selector.poll(now) {
             self.link.carry_out(action);
         }
     }
