--- a/crates/control/src/commands.rs
+++ b/crates/control/src/commands.rs
@@ -1,190 +1,159 @@
-//! Commands: from the process that took one to the head, and the answer back.
-//!
-//! A refusal is a promise that the command will never be taken, so it is only said of what is committed: versions only
-//! rise, and a command whose base is below the newest committed one can't be taken any more. Whatever hangs on an
-//! entry in flight waits for it.
+//! The commands of this process's operator that have no answer yet, and the commands at the head that wait for a commit.
 
 use std::sync::Arc;
+use std::time::Duration;
 
-use crate::message::{Body, Forward, ForwardAnswer, Sender};
+use crate::message::{Forward, Sender};
 use crate::options::transfer_time;
-use crate::replica::{CommandId, Output, Replica};
-use crate::types::{Command, Now, Outcome};
-
-/// Commands of this process that have no answer yet.
-const SUBMITS: usize = 32;
-/// Commands that wait at the head.
-const WAITING: usize = 128;
-/// How often a command is carried from one process to another, until it is committed.
-const TRANSFERS: u32 = 4;
-/// Bytes of commands that wait, in either place.
-const WAITING_BYTES: usize = 24 << 20;
+use crate::types::{Command, CommandId, Now};
+
+/// The most commands of this process without an answer.
+const MAX_PENDING_COMMANDS: usize = 32;
+/// The most commands that wait for a commit at the head.
+const MAX_BLOCKED_COMMANDS: usize = 128;
+/// The most transfers from one process to another that a command takes until it is committed and answered.
+const MAX_TRANSFERS_PER_COMMAND: u32 = 4;
+/// The most bytes of commands in either queue.
+const MAX_QUEUED_COMMAND_BYTES: usize = 24 << 20;
+
+/// When a command was last forwarded, and in which view.
+#[derive(Clone, Copy, Debug)]
+struct ForwardAttempt {
+    at: Now,
+    epoch: u64,
+}
 
 /// A command of this process's operator.
 #[derive(Clone, Debug)]
-struct Submitted {
-    host_key: CommandId,
-    /// Not used by an earlier incarnation.
+struct PendingCommand {
+    id: CommandId,
+    /// Identifies the command to the head. No earlier incarnation of this process has used it.
     key: u64,
     command: Arc<Command>,
-    since: Now,
-    /// When and in which view it was last forwarded.
-    forwarded: Option<(Now, u64)>,
+    submitted_at: Now,
+    last_attempt: Option<ForwardAttempt>,
 }
 
-/// The commands of this process that have no answer yet.
+impl PendingCommand {
+    /// Whether the command should be forwarded to the head of the view.
+    ///
+    /// It travels down the chain and back: forwarded again while it is on its way, a large one would only fill the link.
+    fn is_due(&self, now: Now, epoch: u64, retry_interval: Duration) -> bool {
+        let interval = retry_interval + transfer_time(self.command.bytes.len()) * MAX_TRANSFERS_PER_COMMAND;
+        self.last_attempt.is_none_or(|last| last.epoch != epoch || now >= last.at + interval)
+    }
+}
+
+/// The commands of this process's operator that have no answer yet.
 #[derive(Clone, Debug)]
-pub(crate) struct Submits {
+pub(crate) struct PendingCommands {
     next_key: u64,
-    submitted: Vec<Submitted>,
+    commands: Vec<PendingCommand>,
 }
 
-impl Submits {
+impl PendingCommands {
+    /// An empty queue. Keys start at `first_key`.
     pub(crate) fn new(first_key: u64) -> Self {
-        Submits { next_key: first_key, submitted: Vec::new() }
+        PendingCommands { next_key: first_key, commands: Vec::new() }
     }
-}
 
-/// A command at the head that waits until an entry is committed.
-#[derive(Clone, Debug)]
-pub(crate) struct Waiting {
-    from: Sender,
-    forward: Forward,
-    /// The entry.
-    position: u64,
-}
+    /// Whether no command waits for an answer.
+    pub(crate) fn is_empty(&self) -> bool {
+        self.commands.is_empty()
+    }
 
-impl Replica {
-    pub(crate) fn submit(&mut self, host_key: CommandId, command: Arc<Command>) {
-        let bytes: usize = self.submits.submitted.iter().map(|known| known.command.bytes.len()).sum();
-        if self.submits.submitted.len() >= SUBMITS || bytes + command.bytes.len() > WAITING_BYTES {
-            return self.output(Output::Answer { key: host_key, outcome: Outcome::Unknown });
+    /// Adds a command. False if the queue is full.
+    pub(crate) fn add(&mut self, now: Now, id: CommandId, command: Arc<Command>) -> bool {
+        let queued_bytes: usize = self.commands.iter().map(|pending| pending.command.bytes.len()).sum();
+        let fits = queued_bytes + command.bytes.len() <= MAX_QUEUED_COMMAND_BYTES;
+        if self.commands.len() >= MAX_PENDING_COMMANDS || !fits {
+            return false;
         }
-        let key = self.submits.next_key;
-        self.submits.next_key += 1;
-        let since = self.now;
-        self.submits.submitted.push(Submitted { host_key, key, command, since, forwarded: None });
-        self.drive_submits();
+        let key = self.next_key;
+        self.next_key += 1;
+        self.commands.push(PendingCommand { id, key, command, submitted_at: now, last_attempt: None });
+        true
     }
 
-    /// Forwards what is due; what had no answer for too long is unclear.
-    pub(crate) fn drive_submits(&mut self) {
-        if self.submits.submitted.is_empty() {
-            return;
-        }
-        let (now, timing) = (self.now, self.options.timing);
-        let mut unclear = Vec::new();
-        self.submits.submitted.retain(|submitted| {
-            let kept = now < submitted.since + timing.submit;
-            unclear.extend((!kept).then_some(submitted.host_key));
-            kept
+    /// Removes the commands that have had no answer for the timeout, and returns their ids.
+    pub(crate) fn remove_expired(&mut self, now: Now, timeout: Duration) -> Vec<CommandId> {
+        let mut expired = Vec::new();
+        self.commands.retain(|pending| {
+            let keep = now < pending.submitted_at + timeout;
+            expired.extend((!keep).then_some(pending.id));
+            keep
         });
-        for key in unclear {
-            self.output(Output::Answer { key, outcome: Outcome::Unknown });
-        }
-        let epoch = self.view.epoch;
-        let Some(head) = self.view.head().and_then(|id| self.view.member(id)) else { return };
-        let head = Sender { id: head.id, address: head.address };
+        expired
+    }
+
+    /// The forwards that are due in the view of that epoch; notes that they are sent now.
+    pub(crate) fn take_due(&mut self, now: Now, epoch: u64, retry_interval: Duration) -> Vec<Forward> {
         let mut due = Vec::new();
-        for submitted in &mut self.submits.submitted {
-            // Down the chain and back: sent again while it is on its way, a large command would only fill the link.
-            let on_its_way = transfer_time(submitted.command.bytes.len()) * TRANSFERS;
-            let again_after = timing.forward_retry + on_its_way;
-            let waits = submitted.forwarded.is_some_and(|(at, last)| last == epoch && now < at + again_after);
-            if !waits {
-                submitted.forwarded = Some((now, epoch));
-                due.push(Forward { epoch, key: submitted.key, command: submitted.command.clone() });
+        for pending in &mut self.commands {
+            if pending.is_due(now, epoch, retry_interval) {
+                pending.last_attempt = Some(ForwardAttempt { at: now, epoch });
+                due.push(Forward { epoch, key: pending.key, command: pending.command.clone() });
             }
         }
-        for forward in due {
-            self.send(head, Body::Forward(forward));
-        }
+        due
     }
 
-    pub(crate) fn on_forward(&mut self, from: Sender, forward: Forward) {
-        if forward.epoch != self.view.epoch || !self.accepts_commands() {
-            return;
-        }
-        self.consider(from, forward);
+    /// Removes the command that a final answer of the head in that epoch's view is for, and returns its id.
+    ///
+    /// A commit is final whichever head reports it. A rejection is final only from the head that the command was last
+    /// forwarded to: it doesn't bind another one (`docs/control.md`, "The chain").
+    pub(crate) fn complete(&mut self, key: u64, epoch: u64, committed: bool) -> Option<CommandId> {
+        let index = self.commands.iter().position(|pending| pending.key == key)?;
+        let last_epoch = self.commands[index].last_attempt.map(|last| last.epoch);
+        let is_final = committed || last_epoch == Some(epoch);
+        is_final.then(|| self.commands.swap_remove(index).id)
     }
+}
 
-    /// Takes a command, refuses it, or lets it wait for an entry in flight.
-    fn consider(&mut self, from: Sender, forward: Forward) {
-        let command = &forward.command;
-        let current = self.state.generation();
-        let committed = self.chain.committed.position;
-        if let Some(change) = self.state.find(command) {
-            if change.id.position <= committed {
-                self.check_acknowledged(command);
-                return self.answer(from, &forward, Outcome::Committed);
-            }
-            return self.wait(from, forward, change.id.position);
-        }
-        if command.if_match == current && command.generation > current && !command.is_inquiry() {
-            if let Some(id) = self.append_command(command.clone()) {
-                self.wait(from, forward, id.position);
-            }
-            return;
-        }
-        let last = self.state.last().position;
-        if last > committed {
-            return self.wait(from, forward, last);
-        }
-        let unknown =
-            self.state.has_forgotten(command) || (command.is_inquiry() && command.if_match >= current);
-        let outcome = if unknown { Outcome::Unknown } else { refusal(command, current) };
-        self.answer(from, &forward, outcome);
-    }
+/// A command at the head whose answer depends on an entry in flight.
+#[derive(Clone, Debug)]
+pub(crate) struct BlockedCommand {
+    /// The process that the answer goes to.
+    pub(crate) from: Sender,
+    /// The command as it was forwarded.
+    pub(crate) forward: Forward,
+    /// The position of the entry that must be committed first.
+    position: u64,
+}
 
-    fn wait(&mut self, from: Sender, forward: Forward, position: u64) {
-        let known = self.waiting.iter().any(|known| known.from == from && known.forward.key == forward.key);
-        let bytes: usize = self.waiting.iter().map(|known| known.forward.command.bytes.len()).sum();
-        let fits = self.waiting.len() < WAITING && bytes + forward.command.bytes.len() <= WAITING_BYTES;
-        if !known && fits {
-            self.waiting.push(Waiting { from, forward, position });
-        }
-    }
+/// The commands at the head that wait until an entry is committed.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct BlockedCommands {
+    commands: Vec<BlockedCommand>,
+}
 
-    /// Answers what waited for entries that are committed now.
-    pub(crate) fn answer_waiting(&mut self) {
-        if self.waiting.is_empty() || !self.accepts_commands() {
-            return;
-        }
-        let committed = self.chain.committed.position;
-        let (due, kept) =
-            std::mem::take(&mut self.waiting).into_iter().partition(|waiting| waiting.position <= committed);
-        self.waiting = kept;
-        let due: Vec<Waiting> = due;
-        for waiting in due {
-            self.consider(waiting.from, waiting.forward);
-        }
+impl BlockedCommands {
+    /// Whether no command waits.
+    pub(crate) fn is_empty(&self) -> bool {
+        self.commands.is_empty()
     }
 
-    fn answer(&mut self, to: Sender, forward: &Forward, outcome: Outcome) {
-        let answer = ForwardAnswer { epoch: forward.epoch, key: forward.key, outcome };
-        self.send(to, Body::ForwardAnswer(answer));
+    /// Adds a command that waits for the entry at a position. One that waits already, or finds the queue full, is
+    /// dropped: its sender forwards it again.
+    pub(crate) fn add(&mut self, from: Sender, forward: Forward, position: u64) {
+        let known = self.commands.iter().any(|known| known.from == from && known.forward.key == forward.key);
+        let queued_bytes: usize = self.commands.iter().map(|known| known.forward.command.bytes.len()).sum();
+        let fits = queued_bytes + forward.command.bytes.len() <= MAX_QUEUED_COMMAND_BYTES;
+        if !known && fits && self.commands.len() < MAX_BLOCKED_COMMANDS {
+            self.commands.push(BlockedCommand { from, forward, position });
+        }
     }
 
-    pub(crate) fn on_forward_answer(&mut self, answer: ForwardAnswer) {
-        let found = self.submits.submitted.iter().position(|submitted| submitted.key == answer.key);
-        let Some(place) = found else { return };
-        let forwarded = self.submits.submitted[place].forwarded.map(|(_, epoch)| epoch);
-        // Once it was forwarded to another head, a refusal by the first one binds nobody.
-        if answer.outcome == Outcome::Committed || forwarded == Some(answer.epoch) {
-            let submitted = self.submits.submitted.swap_remove(place);
-            self.output(Output::Answer { key: submitted.host_key, outcome: answer.outcome });
-        }
+    /// Removes and returns the commands that waited for entries up to a committed position.
+    pub(crate) fn take_unblocked(&mut self, committed: u64) -> Vec<BlockedCommand> {
+        let (unblocked, blocked) =
+            std::mem::take(&mut self.commands).into_iter().partition(|known| known.position <= committed);
+        self.commands = blocked;
+        unblocked
     }
-}
 
-/// Why a command isn't taken on top of the committed state. One that builds on a version not known yet may still be
-/// taken from another message, so it is unclear.
-fn refusal(command: &Command, current: u64) -> Outcome {
-    if command.if_match < current {
-        Outcome::Conflict { current }
-    } else if command.if_match == current {
-        Outcome::Invalid { current }
-    } else {
-        Outcome::Unknown
+    /// Drops all commands: their senders forward them to the head of the new view.
+    pub(crate) fn clear(&mut self) {
+        self.commands.clear();
     }
 }
--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -1,144 +1,150 @@
-//! Writes to the disk: one at a time, in order, and what may be said only once they are synced.
+//! Writes to the disk: one at a time and in order, and the effects that must wait until they are synced.
+
+use std::time::Duration;
 
 use crate::message::{Body, Sender};
 use crate::record::{Record, RecordBody};
-use crate::replica::WriteId;
-use crate::types::{EntryId, Now};
-use std::time::Duration;
+use crate::types::{EntryId, Now, WriteId};
 
-/// What follows from a sync.
+/// What follows once records are synced.
 #[derive(Clone, Debug)]
 pub(crate) enum Effect {
-    /// Something may be said.
+    /// A message may be sent.
     Send { to: Sender, body: Body },
-    /// An entry of the chain in that view is on this disk.
-    Stored { epoch: u64, id: EntryId },
-    /// That view is entered.
-    Entered { epoch: u64 },
-    /// This process has an identity that lasts.
+    /// An entry of the chain of that epoch's view is synced.
+    EntrySynced { epoch: u64, id: EntryId },
+    /// The record of entering that epoch's view is synced.
+    ViewEntered { epoch: u64 },
+    /// This process's identity is synced.
     Identified,
 }
 
-/// A write that was handed to the host.
+/// A write that the host is carrying out.
 #[derive(Clone, Debug)]
-struct Flight {
-    write_id: WriteId,
+struct WriteInFlight {
+    id: WriteId,
     records: Vec<Record>,
     effects: Vec<Effect>,
-    since: Now,
+    started_at: Now,
 }
 
-/// The queue to the disk.
+/// The queue of records to the disk.
 #[derive(Clone, Debug)]
 pub(crate) struct Disk {
-    /// Without a disk everything counts at once.
+    /// The process has no disk: records count as synced at once.
     volatile: bool,
-    /// The number of the last record.
+    /// The number of the newest record.
     pub(crate) number: u64,
-    write_id: u64,
+    /// The id of the newest write.
+    last_write: u64,
+    /// Records that wait for the next write, and what follows from them.
     records: Vec<Record>,
     effects: Vec<Effect>,
-    flight: Option<Flight>,
-    ready: Vec<Effect>,
-    refused: Option<Now>,
+    in_flight: Option<WriteInFlight>,
+    ready_effects: Vec<Effect>,
+    /// When the last write failed, if none has succeeded since.
+    failed_at: Option<Now>,
     /// When a write was last handed to the host.
-    written: Now,
+    last_write_at: Now,
 }
 
 impl Disk {
+    /// An empty queue behind a record of that number.
     pub(crate) fn new(volatile: bool, number: u64) -> Self {
         Disk {
             volatile,
             number,
-            write_id: 0,
+            last_write: 0,
             records: Vec::new(),
             effects: Vec::new(),
-            flight: None,
-            ready: Vec::new(),
-            refused: None,
-            written: Now::ZERO,
+            in_flight: None,
+            ready_effects: Vec::new(),
+            failed_at: None,
+            last_write_at: Now::ZERO,
         }
     }
 
-    /// Something to be kept, and what follows from it.
+    /// Queues a record, and the effect that follows once it is synced.
     pub(crate) fn stage(&mut self, body: RecordBody, effect: Option<Effect>) {
         self.number += 1;
         if !self.volatile {
             self.records.push(Record { number: self.number, body });
         }
         if let Some(effect) = effect {
-            self.after(effect);
+            self.run_after_sync(effect);
         }
     }
 
-    /// What follows once all that was staged before is synced.
-    pub(crate) fn after(&mut self, effect: Effect) {
-        match &mut self.flight {
+    /// Queues an effect that follows once all records staged before are synced.
+    fn run_after_sync(&mut self, effect: Effect) {
+        match &mut self.in_flight {
             _ if !self.records.is_empty() => self.effects.push(effect),
-            Some(flight) => flight.effects.push(effect),
-            None => self.ready.push(effect),
+            Some(write) => write.effects.push(effect),
+            None => self.ready_effects.push(effect),
         }
     }
 
-    /// The next write, if one is due.
-    pub(crate) fn next_write(&mut self, now: Now, retry: Duration) -> Option<(WriteId, Vec<Record>)> {
-        let waits = self.refused.is_some_and(|at| now < at + retry);
-        if self.flight.is_some() || self.records.is_empty() || waits {
+    /// Starts the next write, if one is due. A failed one is due again after the retry interval.
+    pub(crate) fn next_write(
+        &mut self,
+        now: Now,
+        retry_interval: Duration,
+    ) -> Option<(WriteId, Vec<Record>)> {
+        let backs_off = self.failed_at.is_some_and(|at| now < at + retry_interval);
+        if self.in_flight.is_some() || self.records.is_empty() || backs_off {
             return None;
         }
-        self.write_id += 1;
-        self.written = now;
-        let write_id = WriteId(self.write_id);
+        self.last_write += 1;
+        self.last_write_at = now;
+        let id = WriteId(self.last_write);
         let records = std::mem::take(&mut self.records);
         let effects = std::mem::take(&mut self.effects);
-        self.flight = Some(Flight { write_id, records: records.clone(), effects, since: now });
-        Some((write_id, records))
+        self.in_flight = Some(WriteInFlight { id, records: records.clone(), effects, started_at: now });
+        Some((id, records))
     }
 
-    /// A write is synced: its records.
-    pub(crate) fn persisted(&mut self, write_id: WriteId) -> Option<Vec<Record>> {
-        let flight = self.flight.take_if(|flight| flight.write_id == write_id)?;
-        self.ready.extend(flight.effects);
-        self.refused = None;
-        Some(flight.records)
+    /// The write in flight is synced: makes its effects ready, and returns its records. `None` if another write is in
+    /// flight.
+    pub(crate) fn persisted(&mut self, id: WriteId) -> Option<Vec<Record>> {
+        let write = self.in_flight.take_if(|write| write.id == id)?;
+        self.ready_effects.extend(write.effects);
+        self.failed_at = None;
+        Some(write.records)
     }
 
-    /// A write was refused: its records wait, before all later ones.
-    pub(crate) fn refuse(&mut self, now: Now, write_id: WriteId) {
-        if self.flight.as_ref().is_none_or(|flight| flight.write_id != write_id) {
-            return;
-        }
-        if let Some(mut flight) = self.flight.take() {
-            flight.records.append(&mut self.records);
-            flight.effects.append(&mut self.effects);
-            self.records = flight.records;
-            self.effects = flight.effects;
-            self.refused = Some(now);
-        }
+    /// The write in flight has failed: its records go back to the front of the queue.
+    pub(crate) fn write_failed(&mut self, now: Now, id: WriteId) {
+        let Some(mut write) = self.in_flight.take_if(|write| write.id == id) else { return };
+        write.records.append(&mut self.records);
+        write.effects.append(&mut self.effects);
+        self.records = write.records;
+        self.effects = write.effects;
+        self.failed_at = Some(now);
     }
 
-    /// What may be done now.
-    pub(crate) fn take_ready(&mut self) -> Vec<Effect> {
-        std::mem::take(&mut self.ready)
+    /// Removes and returns the effects that may be carried out.
+    pub(crate) fn take_ready_effects(&mut self) -> Vec<Effect> {
+        std::mem::take(&mut self.ready_effects)
     }
 
-    /// Whether something may be done now.
-    pub(crate) fn is_ready(&self) -> bool {
-        !self.ready.is_empty()
+    /// Whether effects may be carried out.
+    pub(crate) fn has_ready_effects(&self) -> bool {
+        !self.ready_effects.is_empty()
     }
 
-    /// Something waits to be written or is under way.
+    /// Whether records wait or a write is in flight.
     pub(crate) fn is_busy(&self) -> bool {
-        self.flight.is_some() || !self.records.is_empty()
+        self.in_flight.is_some() || !self.records.is_empty()
     }
 
-    /// Nothing was written for so long: whether the disk still takes writes isn't known.
-    pub(crate) fn is_unproven(&self, now: Now, limit: Duration) -> bool {
-        !self.volatile && !self.is_busy() && now >= self.written + limit
+    /// Whether no write was asked for within the interval: nobody knows whether the disk still takes writes.
+    pub(crate) fn is_idle(&self, now: Now, interval: Duration) -> bool {
+        !self.volatile && !self.is_busy() && now >= self.last_write_at + interval
     }
 
-    /// A write was refused or is under way for too long.
-    pub(crate) fn sick(&self, now: Now, limit: Duration) -> bool {
-        self.refused.is_some() || self.flight.as_ref().is_some_and(|flight| now > flight.since + limit)
+    /// Whether the last write failed, or the one in flight has taken longer than the timeout.
+    pub(crate) fn is_unhealthy(&self, now: Now, timeout: Duration) -> bool {
+        let is_stalled = self.in_flight.as_ref().is_some_and(|write| now > write.started_at + timeout);
+        self.failed_at.is_some() || is_stalled
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,7 +1,7 @@
 //! Chain replication of the control state, and the agreed view that reconfigures the chain.
 //!
-//! Pure: no I/O and no clock. The host feeds [`Input`]s with the time since the process's start, and carries out the
-//! [`Output`]s. `docs/control.md` says why it is safe.
+//! Pure: no I/O and no clock. The host feeds [`Input`]s with the time since the process started, and carries out the
+//! [`Output`]s. `docs/control.md` explains why it is safe.
 
 mod acceptor;
 mod catch_up;
@@ -10,31 +10,33 @@
 mod discovery;
 mod disk;
 mod freshness;
-mod heartbeat;
+mod input;
 mod invariant;
 mod membership;
 mod message;
 mod options;
+mod output;
 mod peers;
 mod plan;
 mod proposer;
 mod record;
 mod replica;
-mod resilience;
-mod restore;
 mod state;
 mod types;
 
+pub use input::Input;
 pub use invariant::{Violation, ViolationKind};
 pub use message::{
     Accept, Append, Body, CatchUp, CaughtUp, Commit, Echo, Forward, ForwardAnswer, Heartbeat, Hello, Install,
     Message, Nack, Prepare, Promise, Sender,
 };
 pub use options::{Options, Timing};
+pub use output::{Output, Outputs};
 pub use record::{Record, RecordBody, RecordError, Snapshot};
-pub use replica::{CommandId, Input, Output, Outputs, Replica, WriteId};
+pub use replica::Replica;
 pub use types::{
-    Ballot, Command, Entry, EntryHeader, EntryId, Member, MemberId, Now, Outcome, Rank, StateTransfer, View,
+    Ballot, Command, CommandId, Entry, EntryHeader, EntryId, Member, MemberId, Now, Outcome, Rank,
+    StateTransfer, View, WriteId,
 };
 
 #[cfg(test)]
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -1,20 +1,20 @@
 //! Which processes should vote in the next view.
 //!
-//! A core that is to bear the loss of `t` machines needs `2t + 1` voters; more of them cost messages and latency and
-//! bear no more. All other machines that could vote stand by: they keep up with the chain and take the place of a voter
-//! that leaves, is gone for too long, or has lost its disk. The set never shrinks below `2t + 1` once it was that large:
-//! a voter that is out of reach keeps its vote until somebody else can have it.
+//! A core that is to tolerate the loss of `t` machines needs `2t + 1` voters; more of them cost messages and latency and
+//! tolerate no more. All other machines that could vote are standbys: they follow the chain and replace a voter that
+//! shuts down, is unreachable for too long, or has lost its disk. The set never shrinks below `2t + 1` once it was that large:
+//! an unreachable voter keeps its vote until another process can have it.
 
 use std::cmp::Reverse;
 
 use crate::types::Member;
 
-/// The fewest voters that bear the loss of one: a core of more than two machines has at least as many.
-const LEAST_USEFUL: usize = 3;
+/// The fewest voters that tolerate the loss of one: a core of more than two machines has at least as many.
+const MIN_FAULT_TOLERANT_VOTERS: usize = 3;
 /// The most voters.
-pub(crate) const MOST_VOTERS: usize = 9;
+pub(crate) const MAX_VOTERS: usize = 9;
 
-/// What a core is asked to bear.
+/// The losses that a core is to tolerate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Tolerance {
     /// Machines that may be lost at once.
@@ -24,42 +24,42 @@
 }
 
 impl Tolerance {
-    /// How many voters bear that, if there are as many machines: always odd.
+    /// The number of voters that tolerates them, if there are as many machines; always odd.
     pub(crate) fn wanted_voters(&self) -> usize {
         let losses = self.nodes.max(self.zones);
-        (2 * losses + 1).clamp(LEAST_USEFUL, MOST_VOTERS)
+        (2 * losses + 1).clamp(MIN_FAULT_TOLERANT_VOTERS, MAX_VOTERS)
     }
 }
 
-/// On how many replicas an entry outlives the loss of `losses` of them, as far as there may be so many voters.
-pub(crate) fn copies_wanted(losses: usize) -> usize {
-    (losses + 1).min(MOST_VOTERS)
+/// The number of replicas on which an entry survives the loss of `losses` of them, up to [`MAX_VOTERS`].
+pub(crate) fn required_replicas(losses: usize) -> usize {
+    (losses + 1).min(MAX_VOTERS)
 }
 
-/// What speaks for or against a candidate, best first.
+/// What is known against a candidate; a lower value is preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Condition {
     /// Nothing is known against it.
     Present,
-    /// A voter that has been out of reach, or its disk sick, for long. It may come back as it was.
-    Gone,
-    /// A voter that shuts down in order.
+    /// A voter that has been unreachable, or had an unhealthy disk, for long. It may come back with its state.
+    Unreachable,
+    /// A voter that is shutting down gracefully.
     Leaving,
-    /// A voter whose disk was lost: its address has another identity now.
+    /// A voter whose disk was lost: another id is at its address now.
     Replaced,
 }
 
-/// A process that votes or asks to.
+/// A voter, or a standby that asks for a vote.
 #[derive(Clone, Debug)]
 pub(crate) struct Candidate {
-    /// Who it is.
+    /// The process.
     pub(crate) member: Member,
-    /// It votes in the current view.
+    /// Whether it votes in the current view.
     pub(crate) voter: bool,
     /// What is known of it.
     pub(crate) condition: Condition,
-    /// It has been ready for long enough to be taken for balance alone.
-    pub(crate) settled: bool,
+    /// Whether it has asked for long enough to become a voter for the balance of zones alone.
+    pub(crate) stable: bool,
 }
 
 /// The voters of the next view: those of the current one in their order, then newcomers. `candidates` holds all voters of
@@ -67,7 +67,7 @@
 pub(crate) fn choose_voters(candidates: Vec<Candidate>, tolerance: Tolerance) -> Vec<Member> {
     let candidates = only_durable_if_any(candidates);
     let target = target_size(&candidates, tolerance);
-    let candidates = without_needless_newcomers(candidates, target);
+    let candidates = without_unneeded_newcomers(candidates, target);
     let mut chosen: Vec<usize> = Vec::with_capacity(target);
     while chosen.len() < target {
         let rest = (0..candidates.len()).filter(|index| !chosen.contains(index));
@@ -86,7 +86,7 @@
     chosen.into_iter().map(|index| candidates[index].member.clone()).collect()
 }
 
-/// Processes without a disk vote only where nobody has one.
+/// Leaves out processes without a disk, unless no candidate has one.
 fn only_durable_if_any(candidates: Vec<Candidate>) -> Vec<Candidate> {
     if !candidates.iter().any(|candidate| candidate.member.durable) {
         return candidates;
@@ -94,11 +94,11 @@
     candidates.into_iter().filter(|candidate| candidate.member.durable).collect()
 }
 
-/// As many as wanted; if there are fewer, the largest odd number: an even one needs a larger majority and bears no more.
-/// But as many as there must be copies, if there are.
+/// As many voters as wanted; if there are fewer candidates, the largest odd number: an even one needs a larger majority
+/// and tolerates no more. But as many as there must be replicas, if there are.
 fn target_size(candidates: &[Candidate], tolerance: Tolerance) -> usize {
     let available = candidates.len().min(tolerance.wanted_voters());
-    let spare = available > copies_wanted(tolerance.nodes);
+    let spare = available > required_replicas(tolerance.nodes);
     if spare && available > 2 && available.is_multiple_of(2) {
         available - 1
     } else {
@@ -106,14 +106,14 @@
     }
 }
 
-/// While all voters are there and are as many as wanted, only a settled newcomer may change the set, for balance.
-fn without_needless_newcomers(candidates: Vec<Candidate>, target: usize) -> Vec<Candidate> {
+/// While all voters are present and as many as wanted, only a stable newcomer may change the set, for balance.
+fn without_unneeded_newcomers(candidates: Vec<Candidate>, target: usize) -> Vec<Candidate> {
     let voters = || candidates.iter().filter(|candidate| candidate.voter);
     let complete = voters().count() == target && voters().all(|voter| voter.condition == Condition::Present);
     if !complete {
         return candidates;
     }
-    candidates.into_iter().filter(|candidate| candidate.voter || candidate.settled).collect()
+    candidates.into_iter().filter(|candidate| candidate.voter || candidate.stable).collect()
 }
 
 #[cfg(test)]
--- a/crates/control/src/message.rs
+++ b/crates/control/src/message.rs
@@ -1,4 +1,7 @@
-//! What replicas say to each other.
+//! The messages that replicas exchange.
+//!
+//! The host encodes them with `rmp-serde`: variants by name, fields by position. Neither a variant's serialized name nor
+//! the order of fields may change; `tests/serialized_form.rs` holds the bytes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,193 +10,203 @@
 
 use crate::types::{Ballot, Command, Entry, EntryId, Member, MemberId, Outcome, Rank, StateTransfer, View};
 
-/// One message, with who sends it and for whom it is meant.
+/// A message with its sender and its intended receiver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Who sends it.
+    /// The process that sends it.
     pub sender: Sender,
-    /// For whom it is meant: another one at that address drops it. Nothing while ids aren't known.
+    /// The member it is meant for: a process with another id at the same address drops it. `None` while the
+    /// receiver's id isn't known to the sender.
     pub target: Option<MemberId>,
-    /// What is said.
+    /// The content.
     pub body: Body,
 }
 
-/// Who sends a message, and where it takes answers.
+/// The process that sent a message, and the address that answers go to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sender {
-    /// Who.
+    /// The sender's id.
     pub id: MemberId,
-    /// Where it takes internal traffic.
+    /// The address the sender accepts internal connections on.
     pub address: SocketAddr,
 }
 
-/// What is said.
+impl From<&Member> for Sender {
+    fn from(member: &Member) -> Self {
+        Sender { id: member.id, address: member.address }
+    }
+}
+
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// To a seed: I am here, and know no view or nobody of it.
+    /// To a seed or another process of the core: announces a process that knows no view, or reaches nobody of it.
     Hello(Hello),
-    /// To all members: take me in.
+    /// To all members: asks for a vote in a later view.
     Join(Member),
-    /// Between all that know the view.
+    /// Between all processes that know the view, at intervals.
     Heartbeat(Heartbeat),
-    /// Proposer to acceptor.
+    /// Paxos phase 1a, proposer to acceptor.
     Prepare(Prepare),
-    /// Acceptor to proposer.
+    /// Paxos phase 1b, acceptor to proposer.
     Promise(Box<Promise>),
-    /// Proposer to each of the next chain.
+    /// Proposer to each replica of the next chain: the state with which the next view begins.
     Install(Box<Install>),
-    /// Its answer: installed and synced.
+    /// Answers [`Body::Install`]: the state is installed and synced.
     Installed(Ballot),
-    /// Proposer to acceptor.
+    /// Paxos phase 2a, proposer to acceptor.
     Accept(Box<Accept>),
-    /// Its answer: accepted and synced.
+    /// Paxos phase 2b, acceptor to proposer: the vote is synced.
     Accepted(Ballot),
-    /// A higher ballot was promised.
+    /// Acceptor to proposer: a higher ballot was promised.
     Nack(Nack),
-    /// A view that is decided.
+    /// A view that was decided.
     Decide(Box<View>),
-    /// Down the chain.
+    /// Predecessor to successor in the chain: a new entry.
     Append(Append),
-    /// From the tail to the chain.
+    /// Tail to the other replicas of the chain: entries are committed.
     Commit(Commit),
     /// Asks for the newest committed entry.
     Fetch,
     /// The newest committed entry.
     Learn(Arc<Entry>),
-    /// A command on its way to the head.
+    /// A command, from the process that an operator gave it to, to the head.
     Forward(Forward),
-    /// Its answer.
+    /// Answers [`Body::Forward`].
     ForwardAnswer(ForwardAnswer),
-    /// A replica outside the chain asks for what it lacks.
+    /// A replica outside the chain asks for the committed entries that it lacks.
     CatchUp(CatchUp),
-    /// Its answer.
+    /// Answers [`Body::CatchUp`].
     CaughtUp(Box<CaughtUp>),
 }
 
-/// I am here.
+/// Announces a process that knows no view, or reaches nobody of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Who.
+    /// The process that announces itself.
     pub member: Member,
-    /// It takes part in the bootstrap.
+    /// Whether it takes part in the bootstrap of the first view.
     pub bootstrap: bool,
-    /// The epoch it knows.
+    /// The epoch of the view that it knows; 0 if none.
     pub epoch: u64,
 }
 
-/// What a peer last heard from us.
+/// Identifies a heartbeat, so that its receiver can acknowledge it to the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
-    /// Our incarnation.
+    /// The incarnation of the process that sent the heartbeat.
     pub incarnation: u64,
-    /// Our time when we sent it, in microseconds.
+    /// When that process sent it, in microseconds of its own steady clock.
     pub sent: u64,
 }
 
-/// Sent to each peer at intervals; an answer to the peer's last one as well.
+/// Sent to each peer at intervals; also acknowledges the peer's newest heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Of this sender, with its own time.
+    /// Identifies this heartbeat, for the receiver to echo.
     pub sent: Echo,
-    /// The last one heard from the receiver: all that is said here was so after it.
-    pub heard: Option<Echo>,
-    /// The view the sender is in.
+    /// The newest heartbeat received from the receiver. All other fields were read after it arrived.
+    pub echo: Option<Echo>,
+    /// The epoch of the sender's view.
     pub epoch: u64,
-    /// It has accepted the next view.
+    /// The sender has accepted a proposal for the next view.
     pub accepted: bool,
-    /// It is sealed against writes by a promise.
+    /// A promise seals the sender against new entries in its view.
     pub sealed: bool,
-    /// It holds the state of the chain in that view.
+    /// The sender holds the chain's state of its view.
     pub matched: bool,
-    /// It and all before it in the chain do.
+    /// The sender and all replicas before it in the chain are `matched`, and synced that they entered the view.
     pub opened: bool,
-    /// Its last entry.
+    /// The last entry of the sender's state.
     pub last: EntryId,
-    /// The newest entry that it knows to be committed.
+    /// The newest entry that the sender knows to be committed.
     pub committed: EntryId,
-    /// Its disk keeps up.
-    pub disk_well: bool,
-    /// It shuts down.
-    pub leaving: bool,
-    /// A bit for each member of the view that it can't reach both ways.
+    /// The sender's disk takes writes, and syncs them in time.
+    pub disk_healthy: bool,
+    /// The sender is shutting down gracefully.
+    pub shutting_down: bool,
+    /// Bit `i` is set if the sender suspects the member of index `i` in the view. Members from index 64 on have no bit.
     pub unreachable: u64,
-    /// The bytes of the newest committed entry that it holds.
+    /// The size in bytes of the newest committed entry that the sender holds.
     #[serde(default)]
     pub committed_bytes: u64,
 }
 
-/// Asks for a promise for the view after `view`.
+/// The members that [`Heartbeat::unreachable`] has a bit for.
+pub(crate) const MAX_REPORTED_MEMBERS: usize = u64::BITS as usize;
+
+/// Paxos phase 1a: asks for a promise in the instance that decides the view after `view`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Prepare {
-    /// The proposer's number.
+    /// The proposal's ballot.
     pub ballot: Ballot,
-    /// The view that is to end.
+    /// The view that the proposal is to replace.
     pub view: View,
-    /// What the proposer holds: who holds more sends it along.
+    /// The rank of the proposer's state: an acceptor of a higher rank adds its own state to the promise.
     pub rank: Rank,
 }
 
-/// A promise, synced.
+/// Paxos phase 1b: a promise, synced before it is sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Promise {
-    /// To whom.
+    /// The ballot that is promised.
     pub ballot: Ballot,
-    /// The zone of this acceptor.
+    /// The zone of the acceptor.
     pub zone: String,
-    /// What it holds.
+    /// The rank of the acceptor's state.
     pub rank: Rank,
-    /// What it had accepted before.
+    /// The proposal of the highest ballot that the acceptor has accepted in this instance.
     pub accepted: Option<(Ballot, View)>,
-    /// Its state, where its rank is above the proposer's.
+    /// The acceptor's state, where its rank is above the proposer's.
     pub state: Option<StateTransfer>,
 }
 
 /// The state with which the next view begins.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Install {
-    /// The proposer's number; implies a promise.
+    /// The proposal's ballot; the receiver promises it too.
     pub ballot: Ballot,
-    /// The view that is to end.
+    /// The view that the proposal is to replace.
     pub view: View,
-    /// The state.
+    /// The state, or the part that the receiver lacks.
     pub transfer: StateTransfer,
 }
 
-/// Asks for a vote.
+/// Paxos phase 2a: asks for a vote.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accept {
-    /// The proposer's number.
+    /// The proposal's ballot.
     pub ballot: Ballot,
-    /// The view that is to end.
+    /// The view that the proposal is to replace.
     pub view: View,
-    /// The view that is to begin.
+    /// The proposed view.
     pub next: View,
 }
 
-/// A higher ballot was promised.
+/// Rejects a ballot: a higher one was promised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Nack {
-    /// The ballot refused.
+    /// The rejected ballot.
     pub refused: Ballot,
-    /// The one promised.
+    /// The ballot that was promised.
     pub promised: Ballot,
 }
 
-/// An entry on its way down the chain: the sender has synced it.
+/// A new entry on its way down the chain; the sender has synced it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Append {
-    /// The view of the chain.
+    /// The epoch of the chain's view.
     pub epoch: u64,
     /// The entry.
     pub entry: Arc<Entry>,
-    /// Committed as far as the sender knows.
+    /// The newest entry that the sender knows to be committed.
     pub committed: EntryId,
 }
 
-/// The tail has synced.
+/// The tail has synced an entry, which commits it and all before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Commit {
-    /// The view of the chain.
+    /// The epoch of the chain's view.
     pub epoch: u64,
     /// The newest committed entry.
     pub committed: EntryId,
@@ -202,41 +215,41 @@
 /// A command on its way to the head.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Forward {
-    /// The view it was sent in: a head of another one drops it.
+    /// The epoch of the view it was sent in: the head of another view drops it.
     pub epoch: u64,
-    /// The sender's name for it.
+    /// The sender's key for the command, which the answer repeats.
     pub key: u64,
     /// The command.
     pub command: Arc<Command>,
 }
 
-/// What the head says of it.
+/// The head's answer to a [`Forward`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ForwardAnswer {
-    /// The view of the forward that is answered.
+    /// The epoch of the forward that is answered.
     pub epoch: u64,
-    /// The id of the command.
+    /// The key of the forward that is answered.
     pub key: u64,
-    /// What became of it.
+    /// The result of the command.
     pub outcome: Outcome,
 }
 
-/// Asks for the committed entries after the last one here.
+/// Asks for the committed entries after the last one of the sender's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CatchUp {
-    /// The view it was sent in: a replica of another one drops it.
+    /// The epoch of the view it was sent in: a replica of another view drops it.
     pub epoch: u64,
     /// The last entry of the sender's state.
     pub last: EntryId,
-    /// The newest committed entry whose bytes the sender has.
+    /// The newest committed entry that the sender holds with its bytes.
     pub known: EntryId,
 }
 
 /// The committed entries that a replica lacks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CaughtUp {
-    /// The view of the answering replica.
+    /// The epoch of the answering replica's view.
     pub epoch: u64,
-    /// What the receiver lacks. Complete for no epoch.
+    /// The entries. They raise the receiver's rank for no epoch: `complete` is 0.
     pub transfer: StateTransfer,
 }
--- a/crates/control/src/options.rs
+++ b/crates/control/src/options.rs
@@ -1,106 +1,110 @@
-//! What a replica is told at its start.
+//! The settings of a replica, fixed at its start but for the seeds.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a replica is told at its start.
+/// The settings of a replica.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Where this process takes internal traffic.
+    /// The address this process accepts internal connections on.
     pub address: SocketAddr,
-    /// The zone it runs in.
+    /// The zone this process runs in.
     pub zone: String,
-    /// Where internal traffic of the seeds goes.
+    /// The internal addresses of the seeds.
     pub seeds: Vec<SocketAddr>,
-    /// The whole system starts for the first time.
+    /// The whole system starts for the first time: a seed with an empty disk may decide the first view.
     pub bootstrap: bool,
-    /// This process has a disk and counts for the quorum. One that hasn't only follows, unless nobody has.
+    /// Whether this process has a disk. One without follows and doesn't vote, unless no member has a disk.
     pub durable: bool,
-    /// How many members may lose their disks at once.
+    /// How many members may be lost at once, with their disks.
     pub tolerate_nodes: usize,
     /// How many zones may be lost at once.
     pub tolerate_zones: usize,
-    /// Drawn by the host from the system's entropy at each start.
+    /// The seed of the random generator, drawn by the host from the system's entropy at each start.
     pub entropy: u64,
-    /// How long things take.
+    /// Intervals and timeouts.
     pub timing: Timing,
 }
 
-/// How long things take. Only liveness hangs on these figures.
+/// Intervals and timeouts. They decide how fast the system reacts; safety depends on none of them (`docs/control.md`,
+/// "Clocks").
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Between heartbeats to one peer.
-    pub heartbeat: Duration,
-    /// A peer that isn't heard, or doesn't hear us, for so long is suspected.
-    pub suspect: Duration,
-    /// Peers aren't suspected for so long after the start.
-    pub start_grace: Duration,
-    /// A sync under way for so long makes the disk sick.
-    pub disk_sick: Duration,
-    /// A disk that nothing was written to for so long is written to, to see whether it is well.
-    pub disk_probe: Duration,
-    /// A write that was refused is tried again after it.
-    pub disk_retry: Duration,
-    /// A voter outside the chain must be healthy for so long to be taken back.
-    pub take_back: Duration,
-    /// A voter out of reach, or with a sick disk, for so long gives its place to a newcomer.
-    pub replace: Duration,
-    /// A newcomer whose install failed isn't tried again for so long.
-    pub postpone: Duration,
-    /// Between a joiner's requests, before jitter.
-    pub join_retry: Duration,
-    /// Between words to seeds while no view is known.
-    pub hello: Duration,
-    /// How long a proposer waits for those that are healthy but late, once it has a majority.
-    pub promise_wait: Duration,
-    /// How long a proposer waits for installs, then for votes.
-    pub phase: Duration,
-    /// Between the delays of those that might propose.
-    pub stagger: Duration,
-    /// A replica sealed for so long, with no new view, asks for one itself.
-    pub sealed: Duration,
-    /// A chain that doesn't commit for so long is changed.
-    pub stuck: Duration,
-    /// Bootstrap waits so long for the last seed.
-    pub bootstrap_wait: Duration,
-    /// A head with fewer replicas than the losses to be borne ask for takes commands only so long after its start.
-    pub few_machines: Duration,
-    /// A command without an answer is forwarded again.
-    pub forward_retry: Duration,
-    /// A command without an answer for so long is unclear.
-    pub submit: Duration,
+    /// The interval between heartbeats to one peer.
+    pub heartbeat_interval: Duration,
+    /// A peer is suspected after this time without a heartbeat, or without an echo of ours.
+    pub suspicion_timeout: Duration,
+    /// No peer is suspected for this long after the start.
+    pub start_grace_period: Duration,
+    /// The disk is unhealthy once a sync has taken longer than this.
+    pub disk_sync_timeout: Duration,
+    /// An idle disk is written to after this time, to see that it still takes writes.
+    pub disk_check_interval: Duration,
+    /// The pause before a failed write is retried.
+    pub disk_retry_interval: Duration,
+    /// A voter outside the chain must have been healthy for this long to be put back into it.
+    pub readmission_delay: Duration,
+    /// A voter that has been unhealthy for this long may be replaced by a standby.
+    pub replacement_delay: Duration,
+    /// A newcomer whose install failed isn't proposed again for this long.
+    pub failed_install_delay: Duration,
+    /// The interval between a standby's requests to become a voter, before jitter.
+    pub join_interval: Duration,
+    /// The interval between hellos to the seeds, before jitter.
+    pub hello_interval: Duration,
+    /// How long a proposer with a majority of promises waits for those of further healthy voters.
+    pub promise_grace_period: Duration,
+    /// The time limit of each phase of a proposal; installs of large states have longer.
+    pub phase_timeout: Duration,
+    /// The difference between the delays of two consecutive potential proposers.
+    pub proposer_stagger: Duration,
+    /// A replica that has been sealed for this long without a new view proposes one itself.
+    pub seal_timeout: Duration,
+    /// A chain that hasn't committed a pending entry for this long is replaced.
+    pub commit_timeout: Duration,
+    /// How long the bootstrap waits for the last seed.
+    pub bootstrap_timeout: Duration,
+    /// How long after its start a head accepts commands at the earliest if its chain has fewer replicas than the losses
+    /// to be tolerated ask for.
+    pub short_chain_delay: Duration,
+    /// The interval after which a command without an answer is forwarded again.
+    pub forward_retry_interval: Duration,
+    /// A command that has no answer after this time is answered as unknown.
+    pub command_timeout: Duration,
 }
 
-/// How long a message of so many bytes may take beyond what a small one does, over the slowest link that is reckoned with:
-/// 8 Mbit/s, a microsecond a byte.
+/// The bandwidth of the slowest supported link, in bytes a microsecond: 8 Mbit/s.
+const MIN_LINK_BYTES_PER_MICROSECOND: u64 = 1;
+
+/// How much longer a message of that many bytes may take than a small one, over the slowest supported link.
 pub(crate) fn transfer_time(bytes: usize) -> Duration {
-    Duration::from_micros(bytes as u64)
+    Duration::from_micros(bytes as u64 / MIN_LINK_BYTES_PER_MICROSECOND)
 }
 
 impl Default for Timing {
     fn default() -> Self {
         let ms = Duration::from_millis;
         Timing {
-            heartbeat: ms(150),
-            suspect: ms(700),
-            start_grace: ms(1000),
-            disk_sick: ms(500),
-            disk_probe: ms(1000),
-            disk_retry: ms(250),
-            take_back: ms(2000),
-            replace: ms(3000),
-            postpone: ms(2000),
-            join_retry: ms(400),
-            hello: ms(200),
-            promise_wait: ms(60),
-            phase: ms(400),
-            stagger: ms(150),
-            sealed: ms(400),
-            stuck: ms(1500),
-            bootstrap_wait: ms(2000),
-            few_machines: ms(5000),
-            forward_retry: ms(600),
-            submit: ms(3000),
+            heartbeat_interval: ms(150),
+            suspicion_timeout: ms(700),
+            start_grace_period: ms(1000),
+            disk_sync_timeout: ms(500),
+            disk_check_interval: ms(1000),
+            disk_retry_interval: ms(250),
+            readmission_delay: ms(2000),
+            replacement_delay: ms(3000),
+            failed_install_delay: ms(2000),
+            join_interval: ms(400),
+            hello_interval: ms(200),
+            promise_grace_period: ms(60),
+            phase_timeout: ms(400),
+            proposer_stagger: ms(150),
+            seal_timeout: ms(400),
+            commit_timeout: ms(1500),
+            bootstrap_timeout: ms(2000),
+            short_chain_delay: ms(5000),
+            forward_retry_interval: ms(600),
+            command_timeout: ms(3000),
         }
     }
 }
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -1,4 +1,4 @@
-//! Failure detection: whom this process hears, and who hears it.
+//! Failure detection: which peers' heartbeats arrive here, and which peers ours arrive at.
 
 use std::time::Duration;
 
@@ -6,229 +6,264 @@
 use crate::options::{transfer_time, Timing};
 use crate::types::{Entry, EntryId, MemberId, Now, View};
 
-/// Followers and joiners that are answered.
-const STRANGERS: usize = 64;
-/// Strangers not heard for so long are forgotten.
-const STRANGER_KEPT: Duration = Duration::from_secs(2);
-/// A pause between ticks that says that this process stood still.
-const STOOD_STILL: Duration = Duration::from_millis(300);
-/// An entry sent to a peer outside the chain that hasn't said that it has it isn't followed by another one for so long:
-/// a slow link would hold ever more of them.
-const TELL_AGAIN: Duration = Duration::from_millis(600);
+/// The most followers and standbys that heartbeats are exchanged with.
+const MAX_NON_VOTERS: usize = 64;
+/// A peer that doesn't vote is forgotten after this time without a heartbeat.
+const NON_VOTER_TIMEOUT: Duration = Duration::from_secs(2);
+/// A longer time between two ticks means that this process was paused.
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(300);
+/// A small entry that was sent to a peer outside the chain counts as lost after this time. No other one is sent to it
+/// before: a slow link would hold ever more of them.
+const LEARN_TIMEOUT: Duration = Duration::from_millis(600);
+
+/// An entry on its way to a peer outside the chain.
+#[derive(Clone, Copy, Debug)]
+struct LearnInFlight {
+    entry: EntryId,
+    /// When it counts as lost.
+    expires_at: Now,
+}
 
 /// What is known of one peer.
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
+    /// The peer's id and address.
     pub(crate) sender: Sender,
-    /// It isn't suspected for what came before this.
-    since: Now,
-    /// When it was last heard.
-    pub(crate) heard: Option<Now>,
-    /// What it last said.
+    /// Silence before this doesn't count against it.
+    grace_until: Now,
+    /// When its last heartbeat arrived.
+    pub(crate) last_seen: Option<Now>,
+    /// Its last heartbeat.
     pub(crate) heartbeat: Option<Heartbeat>,
-    /// When we sent the last heartbeat of ours that it has heard.
-    pub(crate) echoed: Option<Now>,
-    /// When we last sent it one.
-    pub(crate) sent: Option<Now>,
-    /// The entry that was last sent to it for being outside the chain, and when it should have arrived.
-    told: Option<(Now, EntryId)>,
-    /// It has been healthy since.
-    pub(crate) healthy: Option<Now>,
-    /// It has been unhealthy since.
-    unhealthy: Option<Now>,
+    /// When we sent the heartbeat that its last one echoes.
+    pub(crate) echoed_at: Option<Now>,
+    /// When we last sent it a heartbeat.
+    last_heartbeat_sent_at: Option<Now>,
+    learn_in_flight: Option<LearnInFlight>,
+    /// Since when it has been healthy.
+    pub(crate) healthy_since: Option<Now>,
+    /// Since when it has been unhealthy.
+    unhealthy_since: Option<Now>,
 }
 
 impl Peer {
-    fn new(sender: Sender, since: Now) -> Self {
+    fn new(sender: Sender, grace_until: Now) -> Self {
         Peer {
             sender,
-            since,
-            heard: None,
+            grace_until,
+            last_seen: None,
             heartbeat: None,
-            echoed: None,
-            sent: None,
-            told: None,
-            healthy: None,
-            unhealthy: None,
+            echoed_at: None,
+            last_heartbeat_sent_at: None,
+            learn_in_flight: None,
+            healthy_since: None,
+            unhealthy_since: None,
         }
     }
 
-    /// Heard, and hears us.
+    /// Whether heartbeats arrive in both directions.
     pub(crate) fn connected(&self, now: Now, timing: &Timing) -> bool {
-        let heard = self.heard.is_some_and(|at| now <= at + timing.suspect);
-        let echoed = self.echoed.is_some_and(|at| now <= at + echo_limit(timing));
-        heard && echoed
+        let is_seen = self.last_seen.is_some_and(|at| now <= at + timing.suspicion_timeout);
+        let is_echoed = self.echoed_at.is_some_and(|at| now <= at + echo_timeout(timing));
+        is_seen && is_echoed
     }
 
-    /// Not heard, or doesn't hear us, for too long.
+    /// Whether heartbeats have failed to arrive in either direction for too long.
     pub(crate) fn suspected(&self, now: Now, timing: &Timing) -> bool {
-        let heard = self.heard.unwrap_or_default().max(self.since);
-        let echoed = self.echoed.unwrap_or_default().max(self.since);
-        now > heard + timing.suspect || now > echoed + echo_limit(timing)
+        let last_seen = self.last_seen.unwrap_or_default().max(self.grace_until);
+        let echoed_at = self.echoed_at.unwrap_or_default().max(self.grace_until);
+        now > last_seen + timing.suspicion_timeout || now > echoed_at + echo_timeout(timing)
     }
 
-    /// Whether it lacks an entry and may be sent it: the one sent before has arrived, or was lost.
-    pub(crate) fn takes_entry(&self, now: Now, entry: EntryId) -> bool {
+    /// Whether its last heartbeat reports nothing against it; true before the first one.
+    pub(crate) fn reports_healthy(&self) -> bool {
+        self.heartbeat.is_none_or(|last| last.disk_healthy && !last.shutting_down)
+    }
+
+    /// Whether it lacks a committed entry and may be sent it: the one sent before has arrived, or counts as lost.
+    pub(crate) fn can_receive_entry(&self, now: Now, entry: EntryId) -> bool {
         let Some(heartbeat) = self.heartbeat else { return false };
-        let arrived = |told: EntryId| heartbeat.committed.position >= told.position;
-        let free = self.told.is_none_or(|(due, told)| arrived(told) || now >= due);
-        heartbeat.committed.position < entry.position && free
+        let has = |id: EntryId| heartbeat.committed.position >= id.position;
+        let is_free = self.learn_in_flight.is_none_or(|sent| has(sent.entry) || now >= sent.expires_at);
+        !has(entry) && is_free
     }
 
-    /// Notes whether it is healthy now.
+    /// Takes note whether it is healthy now.
     pub(crate) fn note_health(&mut self, now: Now, healthy: bool) {
-        self.healthy = healthy.then(|| self.healthy.unwrap_or(now));
-        self.unhealthy = (!healthy).then(|| self.unhealthy.unwrap_or(now));
+        self.healthy_since = healthy.then(|| self.healthy_since.unwrap_or(now));
+        self.unhealthy_since = (!healthy).then(|| self.unhealthy_since.unwrap_or(now));
     }
 
-    /// How long it hasn't been healthy, but for what isn't held against it.
+    /// How long it has been unhealthy, the time that doesn't count against it left out.
     pub(crate) fn unhealthy_for(&self, now: Now) -> Duration {
-        self.unhealthy.map_or(Duration::ZERO, |at| now.saturating_sub(at.max(self.since)))
+        self.unhealthy_since.map_or(Duration::ZERO, |at| now.saturating_sub(at.max(self.grace_until)))
     }
 
-    /// Takes a heartbeat. False if it is an old one.
-    fn hear(&mut self, now: Now, heartbeat: Heartbeat, incarnation: u64, timing: &Timing) -> bool {
-        let echo = heartbeat.heard.filter(|echo| echo.incarnation == incarnation);
-        let echoed = echo.map(|echo| Duration::from_micros(echo.sent));
+    /// Takes a heartbeat. False if it is older than the last one.
+    fn record_heartbeat(
+        &mut self,
+        now: Now,
+        heartbeat: Heartbeat,
+        incarnation: u64,
+        timing: &Timing,
+    ) -> bool {
+        let echo = heartbeat.echo.filter(|echo| echo.incarnation == incarnation);
+        let echoed_at = echo.map(|echo| Duration::from_micros(echo.sent));
         if let Some(last) = &self.heartbeat {
-            let same = last.sent.incarnation == heartbeat.sent.incarnation;
-            let old = if same {
+            let same_incarnation = last.sent.incarnation == heartbeat.sent.incarnation;
+            let is_outdated = if same_incarnation {
                 heartbeat.sent.sent < last.sent.sent
             } else {
-                self.may_be_late(now, echoed, timing)
+                self.may_be_of_earlier_incarnation(now, echoed_at, timing)
             };
-            if old {
+            if is_outdated {
                 return false;
             }
         }
-        self.heard = Some(now);
-        // The echo of this very heartbeat: what it says was so after that, and perhaps not before.
-        self.echoed = echoed;
+        self.last_seen = Some(now);
+        // Also where it is an earlier one than before: what this heartbeat reports was so after our heartbeat that it
+        // echoes, and perhaps not before.
+        self.echoed_at = echoed_at;
         self.heartbeat = Some(heartbeat);
         true
     }
 
-    /// Whether a heartbeat of another incarnation may be one from before the peer's last start: it has heard nothing
-    /// newer of us than the one that is known, which still speaks.
-    fn may_be_late(&self, now: Now, echoed: Option<Now>, timing: &Timing) -> bool {
-        let speaks = self.heard.is_some_and(|at| now < at + timing.heartbeat * 2);
-        speaks && echoed <= self.echoed
+    /// Whether a heartbeat of another incarnation than the known one may be a late one, from before the peer's last
+    /// start: it echoes nothing newer of us, and the known incarnation still sends heartbeats.
+    fn may_be_of_earlier_incarnation(&self, now: Now, echoed_at: Option<Now>, timing: &Timing) -> bool {
+        let is_alive = self.last_seen.is_some_and(|at| now < at + timing.heartbeat_interval * 2);
+        is_alive && echoed_at <= self.echoed_at
     }
 }
 
-/// An echo is older than the heartbeat that brings it, by up to an interval, and the next one may be lost.
-fn echo_limit(timing: &Timing) -> Duration {
-    timing.suspect + timing.heartbeat * 2
+/// An echo is older than the heartbeat that brings it, by up to an interval, and the next heartbeat may be lost.
+fn echo_timeout(timing: &Timing) -> Duration {
+    timing.suspicion_timeout + timing.heartbeat_interval * 2
 }
 
-/// All that this process exchanges heartbeats with.
+/// All processes that this one exchanges heartbeats with.
 #[derive(Clone, Debug)]
 pub(crate) struct Peers {
+    /// Of this process: echoes of heartbeats of its earlier incarnations don't count.
     incarnation: u64,
     timing: Timing,
-    /// Nobody is suspected for what came before this.
-    since: Now,
-    ticked: Now,
+    /// Silence before this counts against nobody.
+    grace_until: Now,
+    last_tick_at: Now,
     voters: Vec<Peer>,
-    strangers: Vec<Peer>,
+    non_voters: Vec<Peer>,
 }
 
 impl Peers {
+    /// No peers; the grace period of the start begins.
     pub(crate) fn new(now: Now, incarnation: u64, timing: &Timing) -> Self {
-        let since = now + timing.start_grace.saturating_sub(timing.suspect);
-        Peers { incarnation, timing: *timing, since, ticked: now, voters: Vec::new(), strangers: Vec::new() }
+        let grace_until = now + timing.start_grace_period.saturating_sub(timing.suspicion_timeout);
+        Peers {
+            incarnation,
+            timing: *timing,
+            grace_until,
+            last_tick_at: now,
+            voters: Vec::new(),
+            non_voters: Vec::new(),
+        }
     }
 
-    /// The peers of a view, this process left out.
+    /// The voters become those of a view, but for this process.
     pub(crate) fn enter(&mut self, now: Now, view: &View, own: MemberId) {
-        let since = self.since.max(now);
+        let grace_until = self.grace_until.max(now);
         let mut known = std::mem::take(&mut self.voters);
-        known.append(&mut self.strangers);
+        known.append(&mut self.non_voters);
         for member in view.members.iter().filter(|member| member.id != own) {
-            let sender = Sender { id: member.id, address: member.address };
-            let place = known.iter().position(|peer| peer.sender.id == member.id);
-            let mut peer = place.map_or_else(|| Peer::new(sender, since), |place| known.swap_remove(place));
+            let sender = Sender::from(member);
+            let index = known.iter().position(|peer| peer.sender.id == member.id);
+            let known_peer = index.map(|index| known.swap_remove(index));
+            let mut peer = known_peer.unwrap_or_else(|| Peer::new(sender, grace_until));
             peer.sender = sender;
             self.voters.push(peer);
         }
-        self.strangers = known;
-        self.forget(now);
+        self.non_voters = known;
+        self.forget_silent_non_voters(now);
     }
 
-    /// Time has passed. After a pause everyone is doubted anew, and nobody is suspected for it.
+    /// Time has passed. After a pause of this process nobody is suspected for it, and nobody counts as healthy or
+    /// unhealthy.
     pub(crate) fn tick(&mut self, now: Now) {
-        if now > self.ticked + STOOD_STILL {
-            self.since = self.since.max(now);
+        if now > self.last_tick_at + PAUSE_THRESHOLD {
+            self.grace_until = self.grace_until.max(now);
             for peer in &mut self.voters {
-                peer.since = peer.since.max(now);
-                peer.healthy = None;
-                peer.unhealthy = None;
+                peer.grace_until = peer.grace_until.max(now);
+                peer.healthy_since = None;
+                peer.unhealthy_since = None;
             }
         }
-        self.ticked = now;
-        self.forget(now);
+        self.last_tick_at = now;
+        self.forget_silent_non_voters(now);
     }
 
-    fn forget(&mut self, now: Now) {
-        self.strangers.retain(|peer| peer.heard.is_some_and(|at| now <= at + STRANGER_KEPT));
+    fn forget_silent_non_voters(&mut self, now: Now) {
+        let is_recent = |at: Now| now <= at + NON_VOTER_TIMEOUT;
+        self.non_voters.retain(|peer| peer.last_seen.is_some_and(is_recent));
     }
 
-    /// Takes a heartbeat. False if it is an old one.
-    pub(crate) fn hear(&mut self, now: Now, sender: Sender, heartbeat: Heartbeat) -> bool {
+    /// Takes a heartbeat. False if it is older than the last one, or of one non-voter too many.
+    pub(crate) fn record_heartbeat(&mut self, now: Now, sender: Sender, heartbeat: Heartbeat) -> bool {
         let (incarnation, timing) = (self.incarnation, self.timing);
         if let Some(peer) = self.get_mut(sender.id) {
             peer.sender = sender;
-            return peer.hear(now, heartbeat, incarnation, &timing);
+            return peer.record_heartbeat(now, heartbeat, incarnation, &timing);
         }
-        if self.strangers.len() >= STRANGERS {
+        if self.non_voters.len() >= MAX_NON_VOTERS {
             return false;
         }
         let mut peer = Peer::new(sender, now);
-        let heard = peer.hear(now, heartbeat, incarnation, &timing);
-        self.strangers.push(peer);
-        heard
+        let is_newest = peer.record_heartbeat(now, heartbeat, incarnation, &timing);
+        self.non_voters.push(peer);
+        is_newest
     }
 
+    /// The peer with that id.
     pub(crate) fn get(&self, id: MemberId) -> Option<&Peer> {
-        self.voters.iter().chain(&self.strangers).find(|peer| peer.sender.id == id)
+        self.voters.iter().chain(&self.non_voters).find(|peer| peer.sender.id == id)
     }
 
-    pub(crate) fn get_mut(&mut self, id: MemberId) -> Option<&mut Peer> {
-        self.voters.iter_mut().chain(&mut self.strangers).find(|peer| peer.sender.id == id)
+    fn get_mut(&mut self, id: MemberId) -> Option<&mut Peer> {
+        self.voters.iter_mut().chain(&mut self.non_voters).find(|peer| peer.sender.id == id)
     }
 
-    /// The voters of the view, this process left out.
+    /// The voters of the view, but for this process.
     pub(crate) fn voters(&self) -> &[Peer] {
         &self.voters
     }
 
+    /// The voters of the view, but for this process.
     pub(crate) fn voters_mut(&mut self) -> &mut [Peer] {
         &mut self.voters
     }
 
-    /// Those that aren't voters and were heard lately.
-    pub(crate) fn strangers(&self) -> &[Peer] {
-        &self.strangers
+    /// The peers that don't vote and have sent a heartbeat lately.
+    pub(crate) fn non_voters(&self) -> &[Peer] {
+        &self.non_voters
     }
 
-    /// Notes that an entry goes out to a peer outside the chain.
-    pub(crate) fn telling(&mut self, now: Now, id: MemberId, entry: &Entry) {
-        let due = now + TELL_AGAIN + transfer_time(entry.command.bytes.len());
+    /// Takes note that an entry is sent to a peer outside the chain.
+    pub(crate) fn record_learn_sent(&mut self, now: Now, id: MemberId, entry: &Entry) {
+        let expires_at = now + LEARN_TIMEOUT + transfer_time(entry.command.bytes.len());
         if let Some(peer) = self.get_mut(id) {
-            peer.told = Some((due, entry.id));
+            peer.learn_in_flight = Some(LearnInFlight { entry: entry.id, expires_at });
         }
     }
 
-    /// All that are due a heartbeat.
-    pub(crate) fn due(&self, now: Now, interval: Duration) -> Vec<Sender> {
-        let all = self.voters.iter().chain(&self.strangers);
-        all.filter(|peer| peer.sent.is_none_or(|at| now >= at + interval)).map(|peer| peer.sender).collect()
+    /// The peers that had no heartbeat of ours for the interval.
+    pub(crate) fn due_heartbeats(&self, now: Now, interval: Duration) -> Vec<Sender> {
+        let is_due = |peer: &&Peer| peer.last_heartbeat_sent_at.is_none_or(|at| now >= at + interval);
+        let peers = self.voters.iter().chain(&self.non_voters);
+        peers.filter(is_due).map(|peer| peer.sender).collect()
     }
 
-    /// Notes that a heartbeat goes out; returns what it is to echo.
-    pub(crate) fn sending(&mut self, now: Now, id: MemberId) -> Option<Echo> {
+    /// Takes note that a heartbeat is sent to a peer; returns what it is to echo.
+    pub(crate) fn record_heartbeat_sent(&mut self, now: Now, id: MemberId) -> Option<Echo> {
         let peer = self.get_mut(id)?;
-        peer.sent = Some(now);
+        peer.last_heartbeat_sent_at = Some(now);
         peer.heartbeat.map(|heartbeat| heartbeat.sent)
     }
 }
--- a/crates/control/src/record.rs
+++ b/crates/control/src/record.rs
@@ -1,4 +1,7 @@
-//! What a replica keeps on its disk.
+//! The records that a replica keeps on its disk.
+//!
+//! Variants are stored by name, fields by position: neither a variant's serialized name nor the order of fields may
+//! change, or files of earlier versions can't be read; `tests/serialized_form.rs` holds the bytes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,50 +11,50 @@
 
 use crate::types::{Ballot, Entry, EntryHeader, EntryId, MemberId, StateTransfer, View};
 
-/// One record. Replayed in order at the start; a snapshot says up to which number it holds.
+/// One numbered record of the log. Records are replayed in order at the start; a snapshot replaces all up to its number.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Rises by one with each record.
+    /// The number of the record, one above that of the record before it.
     pub number: u64,
-    /// What happened.
+    /// The change of state that is recorded.
     pub body: RecordBody,
 }
 
-/// What happened.
+/// A change of a replica's durable state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordBody {
     /// The first start with an empty disk.
     Identity {
-        /// Drawn then.
+        /// The id drawn at that start.
         id: MemberId,
-        /// The seeds, if it takes part in the bootstrap.
+        /// The seeds, if the process takes part in the bootstrap; else empty.
         bootstrap: Vec<SocketAddr>,
     },
-    /// A promise for the view after `epoch`.
+    /// A promise in the instance that decides the view after `epoch`.
     Promised {
-        /// The view that is to end.
+        /// The epoch of the view that the proposal is to replace.
         epoch: u64,
-        /// To whom.
+        /// The ballot that was promised.
         ballot: Ballot,
     },
-    /// A vote for the view after `epoch`.
+    /// A vote in the instance that decides the view after `epoch`.
     Accepted {
-        /// The view that is to end.
+        /// The epoch of the view that the proposal is to replace.
         epoch: u64,
-        /// The proposal.
+        /// The proposal's ballot.
         ballot: Ballot,
-        /// The view that is to begin.
+        /// The proposed view.
         next: Box<View>,
     },
-    /// A view entered.
+    /// A decided view that the replica entered.
     Entered(Box<View>),
-    /// The state with which a view may begin.
+    /// The state with which a proposed view begins.
     Installed {
-        /// The view that is to end.
+        /// The epoch of the view that the proposal is to replace.
         epoch: u64,
-        /// The proposal; implies a promise.
+        /// The proposal's ballot, which the replica promised by installing the state.
         ballot: Ballot,
-        /// The state.
+        /// The state, or the part that the replica lacked.
         transfer: StateTransfer,
     },
     /// An entry of the chain.
@@ -59,66 +62,74 @@
         /// The entry.
         entry: Arc<Entry>,
     },
-    /// That entry and all before it are committed: after a restart the process knows it at once.
+    /// The entry and all before it are committed: after a restart the replica can serve them at once.
     Committed(EntryId),
-    /// All of the above, up to this record's number.
+    /// The complete durable state as of this record's number.
     Snapshot(Box<Snapshot>),
     /// Committed entries that a replica outside the chain lacked.
     CaughtUp {
-        /// What it lacked.
+        /// The entries.
         transfer: StateTransfer,
     },
 }
 
-/// All that is kept.
+/// The complete durable state of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Who this is.
+    /// The replica's id.
     pub id: MemberId,
-    /// The seeds, if it takes part in the bootstrap.
+    /// The seeds, if the process takes part in the bootstrap; else empty.
     pub bootstrap: Vec<SocketAddr>,
-    /// The view it is in.
+    /// The replica's view.
     pub view: View,
-    /// Its promise for the next one.
+    /// The highest ballot promised for the next view.
     pub promised: Option<Ballot>,
-    /// Its vote for the next one.
+    /// The accepted proposal of the highest ballot for the next view.
     pub accepted: Option<(Ballot, View)>,
-    /// It holds the state with which the view begins, and all entries since.
+    /// The replica holds the state with which its view begins, and all entries since.
     pub matched: bool,
-    /// What the state is complete for.
+    /// The epoch that the state is complete for; see [`Rank::complete`](crate::Rank::complete).
     pub complete: u64,
     /// The newest entry known to be committed.
     pub committed: EntryId,
-    /// The changes it remembers, oldest first.
-    pub changes: Vec<EntryHeader>,
-    /// Entries whose bytes it keeps, oldest first; the last one is the newest.
+    /// The headers of the remembered entries, oldest first.
+    pub headers: Vec<EntryHeader>,
+    /// The entries that are kept with their bytes, oldest first; the last one is the newest.
     pub entries: Vec<Arc<Entry>>,
 }
 
-/// A record that can't be written or read.
+/// A record that can't be encoded or decoded.
 #[derive(Debug, Snafu)]
 pub enum RecordError {
-    /// Not written.
+    /// The record couldn't be encoded.
     #[snafu(display("record not encoded: {source}"))]
     Encode {
-        /// Why.
+        /// The encoder's error.
         source: rmp_serde::encode::Error,
     },
-    /// Not read.
+    /// The bytes aren't a record of a known form.
     #[snafu(display("record not understood: {source}"))]
     Decode {
-        /// Why.
+        /// The decoder's error.
         source: rmp_serde::decode::Error,
     },
 }
 
 impl Record {
-    /// As bytes.
+    /// Encodes the record as MessagePack, without a length or a checksum.
+    ///
+    /// # Errors
+    ///
+    /// [`RecordError::Encode`] if the encoder fails.
     pub fn encode(&self) -> Result<Vec<u8>, RecordError> {
         rmp_serde::to_vec(self).context(EncodeSnafu)
     }
 
-    /// From bytes.
+    /// Decodes a record from the bytes that [`Record::encode`] made.
+    ///
+    /// # Errors
+    ///
+    /// [`RecordError::Decode`] if the bytes aren't a record.
     pub fn decode(bytes: &[u8]) -> Result<Record, RecordError> {
         rmp_serde::from_slice(bytes).context(DecodeSnafu)
     }
--- /dev/null
+++ b/crates/control/src/replica/command_handling.rs
@@ -0,0 +1,106 @@
+//! Commands: forwarded from the process that an operator gave one to, evaluated by the head, and answered.
+//!
+//! Invariant (`docs/control.md`, "The chain"): a rejection promises that the command will never be committed. So it is
+//! based on committed entries alone: versions only rise, and a command whose base version is below the newest committed
+//! one can't be appended any more. A command whose result depends on an entry in flight waits for that entry.
+
+use std::sync::Arc;
+
+use super::Replica;
+use crate::message::{Body, Forward, ForwardAnswer, Sender};
+use crate::output::Output;
+use crate::types::{Command, CommandId, Outcome};
+
+impl Replica {
+    pub(super) fn submit(&mut self, id: CommandId, command: Arc<Command>) {
+        if !self.pending_commands.add(self.now, id, command) {
+            return self.outbox.push(Output::Answer { key: id, outcome: Outcome::Unknown });
+        }
+        self.forward_pending_commands();
+    }
+
+    /// Forwards the commands that are due to the head; answers those that timed out.
+    pub(super) fn forward_pending_commands(&mut self) {
+        if self.pending_commands.is_empty() {
+            return;
+        }
+        let timing = self.options.timing;
+        for key in self.pending_commands.remove_expired(self.now, timing.command_timeout) {
+            self.outbox.push(Output::Answer { key, outcome: Outcome::Unknown });
+        }
+        let Some(head) = self.view.head().and_then(|id| self.view.member(id)) else { return };
+        let head = Sender::from(head);
+        let epoch = self.view.epoch;
+        for forward in self.pending_commands.take_due(self.now, epoch, timing.forward_retry_interval) {
+            self.send(head, Body::Forward(forward));
+        }
+    }
+
+    pub(super) fn on_forward(&mut self, from: Sender, forward: Forward) {
+        if forward.epoch == self.view.epoch && self.accepts_commands() {
+            self.evaluate_command(from, forward);
+        }
+    }
+
+    /// Appends a command, answers it, or lets it wait for an entry in flight.
+    fn evaluate_command(&mut self, from: Sender, forward: Forward) {
+        let command = &forward.command;
+        let current = self.state.generation();
+        let committed = self.chain.committed.position;
+        if let Some(known) = self.state.find(command) {
+            if known.id.position <= committed {
+                self.check_acknowledged(command);
+                return self.answer_forward(from, &forward, Outcome::Committed);
+            }
+            return self.blocked_commands.add(from, forward, known.id.position);
+        }
+        if command.if_match == current && command.generation > current && !command.is_inquiry() {
+            if let Some(id) = self.append_command(command.clone()) {
+                self.blocked_commands.add(from, forward, id.position);
+            }
+            return;
+        }
+        let last = self.state.last().position;
+        if last > committed {
+            return self.blocked_commands.add(from, forward, last);
+        }
+        let may_be_committed =
+            self.state.may_have_forgotten(command) || (command.is_inquiry() && command.if_match >= current);
+        let outcome = if may_be_committed { Outcome::Unknown } else { rejection(command, current) };
+        self.answer_forward(from, &forward, outcome);
+    }
+
+    /// Evaluates again the commands that waited for entries that are committed now.
+    pub(super) fn resume_blocked_commands(&mut self) {
+        if self.blocked_commands.is_empty() || !self.accepts_commands() {
+            return;
+        }
+        for blocked in self.blocked_commands.take_unblocked(self.chain.committed.position) {
+            self.evaluate_command(blocked.from, blocked.forward);
+        }
+    }
+
+    fn answer_forward(&mut self, to: Sender, forward: &Forward, outcome: Outcome) {
+        let answer = ForwardAnswer { epoch: forward.epoch, key: forward.key, outcome };
+        self.send(to, Body::ForwardAnswer(answer));
+    }
+
+    pub(super) fn on_forward_answer(&mut self, answer: ForwardAnswer) {
+        let committed = answer.outcome == Outcome::Committed;
+        if let Some(key) = self.pending_commands.complete(answer.key, answer.epoch, committed) {
+            self.outbox.push(Output::Answer { key, outcome: answer.outcome });
+        }
+    }
+}
+
+/// The answer to a command that can't be appended to the committed state. One whose base version isn't known yet may
+/// still be appended when another copy of it arrives, so its outcome is unknown.
+fn rejection(command: &Command, current: u64) -> Outcome {
+    if command.if_match < current {
+        Outcome::Conflict { current }
+    } else if command.if_match == current {
+        Outcome::Invalid { current }
+    } else {
+        Outcome::Unknown
+    }
+}
--- a/crates/control/src/restore.rs
+++ b/crates/control/src/replica/restore.rs
@@ -1,28 +1,47 @@
-//! What the records of the disk say, replayed.
+//! The durable state of a replica: written as a snapshot, and restored from the records of the disk.
 
+use super::Replica;
 use crate::record::{Record, RecordBody, Snapshot};
-use crate::replica::Replica;
 use crate::state::State;
 use crate::types::{EntryId, View};
 
 impl Replica {
+    /// The records that hold the whole durable state, for the host to rewrite its log with. They must reach the disk in
+    /// order with the writes that were asked for before and after.
+    pub fn snapshot_records(&self) -> Vec<Record> {
+        let snapshot = Snapshot {
+            id: self.id,
+            bootstrap: self.bootstrap.clone(),
+            view: self.view.clone(),
+            promised: self.acceptor.promised,
+            accepted: self.acceptor.accepted.clone(),
+            // A replica whose state was replaced must not count as one that holds the chain's after a restart.
+            matched: self.chain.matched && !self.chain.state_replaced,
+            complete: self.state.complete,
+            committed: self.chain.committed,
+            headers: self.state.headers(),
+            entries: self.state.entries(),
+        };
+        vec![Record { number: self.disk.number, body: RecordBody::Snapshot(Box::new(snapshot)) }]
+    }
+
     /// Replays records in order. A snapshot holds all up to its number: lower ones after it are skipped, and so is an
     /// earlier snapshot.
-    pub(crate) fn replay(&mut self, records: Vec<Record>) {
+    pub(super) fn replay(&mut self, records: Vec<Record>) {
         for record in records {
-            let superseded = match record.body {
+            let is_superseded = match record.body {
                 RecordBody::Snapshot(_) => record.number < self.disk.number,
                 _ => record.number <= self.disk.number,
             };
-            if superseded {
+            if is_superseded {
                 continue;
             }
             self.disk.number = self.disk.number.max(record.number);
-            self.replay_one(record.body);
+            self.replay_record(record.body);
         }
     }
 
-    fn replay_one(&mut self, body: RecordBody) {
+    fn replay_record(&mut self, body: RecordBody) {
         match body {
             RecordBody::Identity { id, bootstrap } => {
                 self.id = id;
@@ -37,7 +56,7 @@
             RecordBody::Entered(view) if view.epoch > self.view.epoch => self.enter(*view),
             RecordBody::Installed { epoch, ballot, transfer } if epoch == self.view.epoch => {
                 self.acceptor.promise(self.now, ballot);
-                self.chain.replaced |= self.state.install(&transfer);
+                self.chain.state_replaced |= self.state.install(&transfer);
             }
             RecordBody::Appended { entry } => self.state.append(entry),
             RecordBody::Committed(id) => self.replay_committed(id),
@@ -46,6 +65,7 @@
                 self.state.install(&transfer);
                 self.replay_committed(self.state.last());
             }
+            // Records of an instance or view that later records replaced.
             RecordBody::Promised { .. }
             | RecordBody::Accepted { .. }
             | RecordBody::Entered(_)
@@ -60,7 +80,7 @@
         self.acceptor.promised = snapshot.promised;
         self.acceptor.accepted = snapshot.accepted;
         self.chain.matched = snapshot.matched;
-        self.state = State::restored(snapshot.complete, snapshot.changes, snapshot.entries);
+        self.state = State::restored(snapshot.complete, snapshot.headers, snapshot.entries);
         self.replay_committed(snapshot.committed);
     }
 
@@ -70,15 +90,15 @@
         }
         self.chain.committed = id;
         self.committed = self.state.entry(id.position).cloned().or(self.committed.take());
-        self.state.release(id.position);
+        self.state.discard_committed_bytes(id.position);
     }
 
-    /// What entering a view changes in what is kept: nothing of the old instance binds any more, and the state counts
-    /// as the chain's if it is the one the chain begins with.
-    pub(crate) fn enter(&mut self, view: View) {
+    /// Changes the durable state as entering a view does: nothing promised in the old instance binds any more, and the
+    /// state counts as the chain's if it is the one with which the view begins.
+    pub(super) fn enter(&mut self, view: View) {
         self.acceptor.clear();
         self.chain.matched = view.chain_index(self.id).is_some() && self.state.last() == view.start;
-        self.chain.replaced = false;
+        self.chain.state_replaced = false;
         if self.chain.matched {
             self.state.complete = view.epoch;
         }
--- a/crates/control/src/types.rs
+++ b/crates/control/src/types.rs
@@ -1,4 +1,7 @@
-//! The words of the protocol: members, views, entries, ballots.
+//! The basic types of the protocol: members, views, ballots, commands, entries.
+//!
+//! Most of them are part of messages or records: the order of their fields must not change, and serialized names of
+//! variants neither; `tests/serialized_form.rs` holds the bytes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,65 +9,73 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Time since the process's start, by its steady clock.
+/// The time since the process started, by its own steady clock. Times of two processes can't be compared.
 pub type Now = Duration;
 
-/// Drawn at random at a member's first start with an empty disk, and persisted: a wiped member has another one.
+/// The host's id for a command that it submitted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct CommandId(pub u64);
+
+/// Identifies a write to the disk.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct WriteId(pub u64);
+
+/// The id of a process, drawn at random at its first start with an empty disk, and persisted: a process whose disk was
+/// wiped has another one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MemberId(pub u64);
 
 /// A process that votes on views and may hold the state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
-    /// Who it is.
+    /// The process's id.
     pub id: MemberId,
-    /// Where it takes internal traffic.
+    /// The address the process accepts internal connections on.
     pub address: SocketAddr,
-    /// The zone it runs in.
+    /// The zone the process runs in.
     pub zone: String,
-    /// It keeps what it is told on a disk.
+    /// Whether the process stores its state on a disk.
     #[serde(default = "durable_by_default")]
     pub durable: bool,
 }
 
-/// Files written before the field was there hold members with a disk only.
+/// The value of [`Member::durable`] in files written before the field existed: all members had a disk.
 fn durable_by_default() -> bool {
     true
 }
 
-/// Names an entry: the epoch of the head that made it, and its position. The same name is the same entry, and the
-/// same entries before it.
+/// Identifies an entry. Two entries with the same id are equal, and so are all entries before them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EntryId {
-    /// The epoch of the head that made it.
+    /// The epoch of the head that made the entry.
     pub epoch: u64,
-    /// Counted from 1; 0 is the empty state.
+    /// The position of the entry, counted from 1; 0 is the empty state.
     pub position: u64,
 }
 
-/// Who votes, and which of them hold the state, in which order. Agreed by a majority of the view before.
+/// The voters, and the replicas of the chain in their order. Decided by a majority of the view before.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct View {
-    /// Rises by one with each view; 0 is none.
+    /// The number of the view, one above that of the view before; 0 means that no view is known.
     pub epoch: u64,
     /// The voters.
     pub members: Vec<Member>,
-    /// Those that hold the state, head first, tail last.
+    /// The replicas that hold the state, head first, tail last.
     pub chain: Vec<MemberId>,
     /// The last entry of the state with which the chain begins.
     pub start: EntryId,
 }
 
 impl View {
-    /// The votes that decide in this view.
+    /// The number of votes that decide in this view.
     pub fn majority(&self) -> usize {
         self.members.len() / 2 + 1
     }
 
-    /// The shortest chain that each majority meets and that outlives the loss of `tolerate` members.
+    /// The length of the shortest chain that intersects each majority and survives the loss of `tolerate` members.
     pub fn least_chain(&self, tolerate: usize) -> usize {
-        let meets = (self.members.len() + 1).saturating_sub(self.majority());
-        meets.max(tolerate + 1).min(self.members.len())
+        let intersecting = (self.members.len() + 1).saturating_sub(self.majority());
+        intersecting.max(tolerate + 1).min(self.members.len())
     }
 
     /// The member with that id.
@@ -72,25 +83,25 @@
         self.members.iter().find(|member| member.id == id)
     }
 
-    /// Where a replica stands in the chain.
+    /// The index of a replica in the chain; the head's is 0.
     pub fn chain_index(&self, id: MemberId) -> Option<usize> {
         self.chain.iter().position(|replica| *replica == id)
     }
 
-    /// The replica that takes commands.
+    /// The replica that accepts commands.
     pub fn head(&self) -> Option<MemberId> {
         self.chain.first().copied()
     }
 
-    /// The replica whose sync commits.
+    /// The replica whose sync commits an entry.
     pub fn tail(&self) -> Option<MemberId> {
         self.chain.last().copied()
     }
 
     /// The replica before one in the chain.
     pub fn predecessor(&self, id: MemberId) -> Option<MemberId> {
-        let place = self.chain_index(id)?.checked_sub(1)?;
-        self.chain.get(place).copied()
+        let index = self.chain_index(id)?.checked_sub(1)?;
+        self.chain.get(index).copied()
     }
 
     /// The replica after one in the chain.
@@ -99,36 +110,39 @@
     }
 }
 
-/// A proposer's number in one instance. The incarnation keeps a restarted proposer from using a number twice.
+/// The number of a proposal in one Paxos instance. Ballots are compared by their fields in order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Above every counter its proposer has seen.
+    /// Above every counter that the proposer has seen.
     pub counter: u64,
     /// The proposer.
     pub proposer: MemberId,
-    /// Drawn at each start of the proposer.
+    /// The proposer's incarnation, drawn at each of its starts: keeps a restarted proposer from using a ballot twice.
     pub incarnation: u64,
 }
 
-/// How much of the state a replica holds: the highest rank among a majority holds all that was acknowledged.
+/// How much of the state a replica holds.
+///
+/// Invariant (`docs/control.md`, "Why nothing is lost"): the highest rank among a majority of promises holds all that was
+/// acknowledged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Rank {
-    /// The state holds all that was acknowledged in this epoch and before it, while the replica is sealed.
+    /// The state holds all that was acknowledged in this epoch and before, while the replica is sealed.
     pub complete: u64,
-    /// The last entry.
+    /// The last entry of the state.
     pub last: EntryId,
 }
 
-/// What an operator asks for: a whole configuration on top of a version.
+/// An operator's command: a complete configuration that replaces the one of a given version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
-    /// The version it builds on; 0 for the first.
+    /// The version that the configuration replaces; 0 for the first one.
     pub if_match: u64,
-    /// Its own version.
+    /// The version of the configuration.
     pub generation: u64,
-    /// Of what the operator sent.
+    /// The digest of what the operator sent, by which a repeated command is recognized.
     pub digest: u128,
-    /// The configuration that it makes, as sent or merged; nothing in an inquiry.
+    /// The configuration, as sent or merged from a patch; empty in an inquiry.
     #[serde(with = "serde_bytes")]
     pub bytes: Vec<u8>,
 }
@@ -139,36 +153,36 @@
         Command { if_match, generation, digest: digest(&bytes), bytes }
     }
 
-    /// Asks whether a command was taken whose configuration can't be made any more. It is never taken itself.
+    /// Asks whether a command was committed whose configuration can't be built any more. It is never committed itself.
     pub fn inquiry(if_match: u64, generation: u64, digest: u128) -> Self {
         Command { if_match, generation, digest, bytes: Vec::new() }
     }
 
-    /// Whether it only asks.
+    /// Whether this is an inquiry.
     pub fn is_inquiry(&self) -> bool {
         self.bytes.is_empty()
     }
 }
 
-/// FNV-1a of 128 bits: tells apart what operators send, and nobody gains by a collision.
+/// FNV-1a of 128 bits: tells apart what operators send. Nobody gains by a collision, so it needn't be cryptographic.
 fn digest(bytes: &[u8]) -> u128 {
-    const OFFSET: u128 = 0x6c62_272e_07bb_0142_62b8_2175_6295_c58d;
+    const OFFSET_BASIS: u128 = 0x6c62_272e_07bb_0142_62b8_2175_6295_c58d;
     const PRIME: u128 = 0x0000_0000_0100_0000_0000_0000_0000_013b;
-    bytes.iter().fold(OFFSET, |hash, byte| (hash ^ u128::from(*byte)).wrapping_mul(PRIME))
+    bytes.iter().fold(OFFSET_BASIS, |hash, byte| (hash ^ u128::from(*byte)).wrapping_mul(PRIME))
 }
 
-/// A command that a head has taken.
+/// A command that a head has appended to the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its name.
+    /// The entry's id.
     pub id: EntryId,
-    /// What was asked for.
+    /// The command.
     pub command: Arc<Command>,
 }
 
 impl Entry {
-    /// What the history keeps of it.
-    pub fn change(&self) -> EntryHeader {
+    /// The entry without the command's bytes.
+    pub fn header(&self) -> EntryHeader {
         EntryHeader {
             id: self.id,
             if_match: self.command.if_match,
@@ -178,21 +192,21 @@
     }
 }
 
-/// What is remembered of a committed command, so that the same command again is known.
+/// What is remembered of an entry once its bytes are discarded, so that a repeated command is recognized.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryHeader {
-    /// The entry.
+    /// The entry's id.
     pub id: EntryId,
-    /// The version it built on.
+    /// The version that the configuration replaced.
     pub if_match: u64,
-    /// Its version.
+    /// The version of the configuration.
     pub generation: u64,
-    /// Of what the operator sent.
+    /// The digest of what the operator sent.
     pub digest: u128,
 }
 
 impl EntryHeader {
-    /// Whether it was made by that command.
+    /// Whether the entry was made by that command.
     pub fn is_of(&self, command: &Command) -> bool {
         self.if_match == command.if_match
             && self.generation == command.generation
@@ -200,50 +214,50 @@
     }
 }
 
-/// A state as sent to a replica: what comes after an entry that it has, or the whole.
+/// A state, or the part of it that follows an entry, as it is sent to a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateTransfer {
-    /// What the state is complete for.
+    /// The epoch that the state is complete for; see [`Rank::complete`].
     pub complete: u64,
-    /// The entry that the receiver has; nothing means that the state is whole.
+    /// The entry that the receiver's state is kept up to; `None` if the transfer replaces all of it.
     pub since: Option<EntryId>,
-    /// The changes after it.
-    pub changes: Vec<EntryHeader>,
-    /// The last entry, where the receiver hasn't got it.
+    /// The headers of the entries after `since`, oldest first.
+    pub headers: Vec<EntryHeader>,
+    /// The last entry with its bytes, unless the receiver has it.
     pub newest: Option<Arc<Entry>>,
 }
 
 impl StateTransfer {
     /// The last entry of the state once it is installed.
     pub fn last(&self) -> EntryId {
-        let last = self.changes.last().map(|change| change.id);
+        let last = self.headers.last().map(|header| header.id);
         last.or(self.since).unwrap_or_default()
     }
 
-    /// About how many bytes it takes.
+    /// The approximate size in bytes.
     pub fn size(&self) -> usize {
         let newest = self.newest.as_ref().map_or(0, |entry| entry.command.bytes.len());
-        newest + self.changes.len() * size_of::<EntryHeader>()
+        newest + self.headers.len() * size_of::<EntryHeader>()
     }
 }
 
-/// What became of a command.
+/// The result of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It is committed.
+    /// The command is committed.
     #[serde(rename = "Taken")]
     Committed,
-    /// Another version is current, and this command will never be taken.
+    /// Another version is current, and the command will never be committed.
     Conflict {
         /// The current version.
         current: u64,
     },
-    /// Its generation isn't above the current one, and this command will never be taken.
+    /// The command's version isn't above the current one, and the command will never be committed.
     Invalid {
         /// The current version.
         current: u64,
     },
-    /// It may have been taken, or may yet be.
+    /// The command may have been committed, or may yet be.
     #[serde(rename = "Unclear")]
     Unknown,
 }
--- a/crates/control/tests/basics.rs
+++ b/crates/control/tests/basics.rs
@@ -432,7 +432,7 @@
                 panic!("snapshots");
             };
             assert_eq!((kept.matched, kept.complete), (first.matched, first.complete));
-            assert_eq!(kept.changes, first.changes);
+            assert_eq!(kept.headers, first.headers);
             assert_eq!(kept.entries.last(), first.entries.last());
         }
     }
@@ -479,7 +479,7 @@
         for node in &world.nodes {
             for record in node.replica.as_ref().expect("up").snapshot_records() {
                 if let RecordBody::Snapshot(snapshot) = record.body {
-                    states.push(snapshot.changes);
+                    states.push(snapshot.headers);
                 }
             }
         }
--- a/crates/control/tests/catching_up.rs
+++ b/crates/control/tests/catching_up.rs
@@ -65,7 +65,7 @@
     let Some(replica) = &world.nodes[place].replica else { return false };
     let held = replica.snapshot_records().into_iter().any(|record| match record.body {
         crankpick_control::RecordBody::Snapshot(snapshot) => {
-            snapshot.changes.last().is_some_and(|change| change.generation >= newest)
+            snapshot.headers.last().is_some_and(|change| change.generation >= newest)
                 && snapshot.entries.last().is_some_and(|entry| entry.command.generation >= newest)
         }
         _ => false,
--- a/crates/control/tests/restarts.rs
+++ b/crates/control/tests/restarts.rs
@@ -46,7 +46,7 @@
 fn records_of_the_tail() -> Vec<Record> {
     let entry = Arc::new(Entry { id: EntryId { epoch: 1, position: 1 }, command: command(0, 5, 1) });
     let since = Some(EntryId::default());
-    let transfer = StateTransfer { complete: 1, since, changes: vec![entry.change()], newest: Some(entry) };
+    let transfer = StateTransfer { complete: 1, since, headers: vec![entry.header()], newest: Some(entry) };
     let ballot = Ballot { counter: 1, proposer: MemberId(4), incarnation: 9 };
     vec![
         record(1, RecordBody::Identity { id: TAIL, bootstrap: Vec::new() }),
@@ -59,7 +59,7 @@
 fn predecessor_is_open() -> Input {
     let heartbeat = Heartbeat {
         sent: Echo { incarnation: 1, sent: 1 },
-        heard: None,
+        echo: None,
         epoch: 1,
         accepted: false,
         sealed: false,
@@ -67,8 +67,8 @@
         opened: true,
         last: EntryId::default(),
         committed: EntryId::default(),
-        disk_well: true,
-        leaving: false,
+        disk_healthy: true,
+        shutting_down: false,
         unreachable: 0,
         committed_bytes: 0,
     };
@@ -114,9 +114,9 @@
 
 fn caught_up(count: u64) -> Input {
     let entries = entries(count);
-    let changes = entries.iter().map(|entry| entry.change()).collect();
+    let headers = entries.iter().map(|entry| entry.header()).collect();
     let newest = entries.last().cloned();
-    let transfer = StateTransfer { complete: 0, since: Some(EntryId::default()), changes, newest };
+    let transfer = StateTransfer { complete: 0, since: Some(EntryId::default()), headers, newest };
     let body = Body::CaughtUp(Box::new(CaughtUp { epoch: 1, transfer }));
     let sender = Sender { id: HEAD, address: member(HEAD).address };
     Input::Message(Message { sender, target: Some(STANDBY), body })
@@ -135,7 +135,7 @@
     standby.handle(ms(20), caught_up(2), &mut outputs);
     let RecordBody::Snapshot(snapshot) = standby.snapshot_records().remove(0).body else { unreachable!() };
     assert_eq!(snapshot.committed, EntryId { epoch: 1, position: 3 });
-    assert_eq!(snapshot.changes.len(), 3);
+    assert_eq!(snapshot.headers.len(), 3);
     assert!(standby.violations().is_empty(), "{:?}", standby.violations());
 }
 
--- a/crates/control/tests/second_losses.rs
+++ b/crates/control/tests/second_losses.rs
@@ -46,7 +46,7 @@
             return;
         }
     }
-    panic!("{what}: no order was taken\n{}", world.describe());
+    panic!("{what}: no command was taken\n{}", world.describe());
 }
 
 /// Loses as many voters as the core bears, at one moment.
--- a/crates/control/tests/serialized_form.rs
+++ b/crates/control/tests/serialized_form.rs
@@ -60,7 +60,7 @@
     Arc::new(Entry { id: entry_id(4, 18), command: command() })
 }
 
-fn change() -> EntryHeader {
+fn header() -> EntryHeader {
     EntryHeader { id: entry_id(4, 18), if_match: 41, generation: 42, digest: 0x1122_3344 << 90 }
 }
 
@@ -68,7 +68,7 @@
     StateTransfer {
         complete: 4,
         since: Some(entry_id(3, 17)),
-        changes: vec![change(), EntryHeader { id: entry_id(4, 19), if_match: 42, generation: 43, digest: 7 }],
+        headers: vec![header(), EntryHeader { id: entry_id(4, 19), if_match: 42, generation: 43, digest: 7 }],
         newest: Some(entry()),
     }
 }
@@ -76,7 +76,7 @@
 fn heartbeat() -> Heartbeat {
     Heartbeat {
         sent: Echo { incarnation: 71, sent: 72 },
-        heard: Some(Echo { incarnation: 73, sent: 74 }),
+        echo: Some(Echo { incarnation: 73, sent: 74 }),
         epoch: 5,
         accepted: true,
         sealed: false,
@@ -84,8 +84,8 @@
         opened: false,
         last: entry_id(4, 19),
         committed: entry_id(4, 18),
-        disk_well: true,
-        leaving: false,
+        disk_healthy: true,
+        shutting_down: false,
         unreachable: 0b101,
         committed_bytes: 4096,
     }
@@ -117,7 +117,7 @@
         matched: true,
         complete: 4,
         committed: entry_id(4, 18),
-        changes: vec![change()],
+        headers: vec![header()],
         entries: vec![entry()],
     };
     let bare_snapshot = Snapshot {
@@ -129,7 +129,7 @@
         matched: false,
         complete: 0,
         committed: EntryId::default(),
-        changes: Vec::new(),
+        headers: Vec::new(),
         entries: Vec::new(),
     };
     vec![
@@ -176,7 +176,7 @@
         ("Hello", Body::Hello(Hello { member: member(1, true), bootstrap: true, epoch: 5 })),
         ("Join", Body::Join(member(3, false))),
         ("Heartbeat", Body::Heartbeat(heartbeat())),
-        ("Heartbeat-first", Body::Heartbeat(Heartbeat { heard: None, ..heartbeat() })),
+        ("Heartbeat-first", Body::Heartbeat(Heartbeat { echo: None, ..heartbeat() })),
         (
             "Prepare",
             Body::Prepare(Prepare {
--- a/crates/control/tests/simulation/checks.rs
+++ b/crates/control/tests/simulation/checks.rs
@@ -40,7 +40,7 @@
 
     /// No two chains: a position holds the same entry wherever it is committed, and each builds on the one before.
     pub fn committed(&mut self, now: Duration, place: usize, entry: &Arc<Entry>) {
-        let change = entry.change();
+        let change = entry.header();
         let position = change.id.position;
         if let Some(known) = self.committed.get(&position).filter(|known| **known != change) {
             self.breach(format!("{now:?} node {place}: position {position} is {change:?} and {known:?}"));
--- a/crates/control/tests/simulation/inspect.rs
+++ b/crates/control/tests/simulation/inspect.rs
@@ -46,7 +46,7 @@
         let replica = Replica::restore(ms(0), self.options(place, 0), decoded.collect(), &mut Vec::new());
         let snapshots = replica.snapshot_records().into_iter();
         let changes = snapshots.filter_map(|record| match record.body {
-            RecordBody::Snapshot(snapshot) => Some(snapshot.changes),
+            RecordBody::Snapshot(snapshot) => Some(snapshot.headers),
             _ => None,
         });
         changes.flatten().collect()
--- a/crates/control/tests/simulation/schedule.rs
+++ b/crates/control/tests/simulation/schedule.rs
@@ -350,7 +350,7 @@
             }
             for record in replica.snapshot_records() {
                 if let crankpick_control::RecordBody::Snapshot(snapshot) = record.body {
-                    self.checks.held(place, &snapshot.changes);
+                    self.checks.held(place, &snapshot.headers);
                 }
             }
         }
@@ -387,7 +387,7 @@
         }
         self.wake_operator_at(self.now, Wake::New);
         if self.recover().is_none() {
-            let text = format!("no order taken within {BOUND:?} after further losses\n{}", self.describe());
+            let text = format!("no command taken within {BOUND:?} after further losses\n{}", self.describe());
             self.checks.breaches.push(text);
         }
     }
@@ -414,7 +414,7 @@
         self.end_trouble();
         let recovered = self.recover();
         if recovered.is_none() {
-            let text = format!("no order taken within {BOUND:?} after trouble\n{}", self.describe());
+            let text = format!("no command taken within {BOUND:?} after trouble\n{}", self.describe());
             self.checks.breaches.push(text);
         }
         self.check_end();
--- a/crates/control/tests/unit/membership.rs
+++ b/crates/control/tests/unit/membership.rs
@@ -11,11 +11,11 @@
 }
 
 fn voter(number: u8, zone: &str, condition: Condition) -> Candidate {
-    Candidate { member: member(number, zone), voter: true, condition, settled: true }
+    Candidate { member: member(number, zone), voter: true, condition, stable: true }
 }
 
 fn newcomer(number: u8, zone: &str) -> Candidate {
-    Candidate { member: member(number, zone), voter: false, condition: Condition::Present, settled: true }
+    Candidate { member: member(number, zone), voter: false, condition: Condition::Present, stable: true }
 }
 
 fn volatile(mut candidate: Candidate) -> Candidate {
@@ -28,7 +28,7 @@
     choose_voters(candidates.to_vec(), tolerance).iter().map(|member| member.id.0).collect()
 }
 
-use Condition::{Gone, Leaving, Present, Replaced};
+use Condition::{Leaving, Present, Replaced, Unreachable};
 
 #[test]
 fn one_loss_wants_three_voters_and_the_fourth_stands_by() {
@@ -65,7 +65,7 @@
 
 #[test]
 fn a_voter_that_leaves_is_gone_or_replaced_gives_its_vote_to_one_that_stands_by() {
-    for condition in [Leaving, Gone, Replaced] {
+    for condition in [Leaving, Unreachable, Replaced] {
         let candidates =
             [voter(1, "a", Present), voter(2, "b", condition), voter(3, "c", Present), newcomer(4, "b")];
         assert_eq!(chosen(1, &candidates), [1, 3, 4], "{condition:?}");
@@ -74,13 +74,13 @@
 
 #[test]
 fn nobody_is_dropped_while_nobody_stands_by() {
-    for condition in [Leaving, Gone, Replaced] {
+    for condition in [Leaving, Unreachable, Replaced] {
         let candidates = [voter(1, "a", Present), voter(2, "b", condition), voter(3, "c", Present)];
         assert_eq!(chosen(1, &candidates), [1, 2, 3], "{condition:?}");
     }
     let five = [
         voter(1, "a", Present),
-        voter(2, "b", Gone),
+        voter(2, "b", Unreachable),
         voter(3, "c", Replaced),
         voter(4, "d", Present),
         voter(5, "e", Present),
@@ -91,7 +91,7 @@
 #[test]
 fn one_too_many_is_dropped() {
     let silent =
-        [voter(1, "a", Present), voter(2, "b", Present), voter(3, "c", Present), voter(4, "d", Gone)];
+        [voter(1, "a", Present), voter(2, "b", Present), voter(3, "c", Present), voter(4, "d", Unreachable)];
     assert_eq!(chosen(1, &silent), [1, 2, 3], "four voters of whom one is gone bear no loss");
     let whole =
         [voter(1, "a", Present), voter(2, "b", Present), voter(3, "c", Present), voter(4, "d", Present)];
@@ -100,19 +100,20 @@
 
 #[test]
 fn the_one_that_may_come_back_keeps_its_vote_longest() {
-    let candidates = [voter(1, "a", Replaced), voter(2, "b", Gone), voter(3, "c", Leaving), newcomer(4, "a")];
+    let candidates =
+        [voter(1, "a", Replaced), voter(2, "b", Unreachable), voter(3, "c", Leaving), newcomer(4, "a")];
     assert_eq!(chosen(1, &candidates), [2, 3, 4]);
 }
 
 #[test]
 fn zones_are_balanced_only_by_one_that_has_settled() {
     let mut candidates = vec![voter(1, "a", Present), voter(2, "b", Present), voter(3, "b", Present)];
-    candidates.push(Candidate { settled: false, ..newcomer(4, "c") });
+    candidates.push(Candidate { stable: false, ..newcomer(4, "c") });
     assert_eq!(chosen(1, &candidates), [1, 2, 3]);
-    candidates[3].settled = true;
+    candidates[3].stable = true;
     assert_eq!(chosen(1, &candidates), [1, 2, 4]);
-    candidates[3].settled = false;
-    candidates[0].condition = Gone;
+    candidates[3].stable = false;
+    candidates[0].condition = Unreachable;
     assert_eq!(chosen(1, &candidates), [2, 3, 4], "needed at once");
 }
 
--- a/crates/control/tests/unit/model.rs
+++ b/crates/control/tests/unit/model.rs
@@ -11,11 +11,13 @@
 
 use stateright::{Checker, Model, Property};
 
+use crate::input::Input;
 use crate::message::{Body, Echo, Heartbeat, Message};
 use crate::options::{Options, Timing};
+use crate::output::Output;
 use crate::record::{Record, RecordBody};
-use crate::replica::{CommandId, Input, Output, Replica};
-use crate::types::{Command, EntryId, Member, MemberId, Outcome, View};
+use crate::replica::Replica;
+use crate::types::{Command, CommandId, EntryId, Member, MemberId, Outcome, View};
 
 const NOW: Duration = Duration::from_millis(100);
 
@@ -58,11 +60,11 @@
     replica.acceptor.promised.hash(state);
     replica.acceptor.accepted.hash(state);
     replica.state.complete.hash(state);
-    let changes: Vec<EntryId> = replica.state.changes().iter().map(|change| change.id).collect();
+    let changes: Vec<EntryId> = replica.state.headers().iter().map(|change| change.id).collect();
     let entries: Vec<EntryId> = replica.state.entries().iter().map(|entry| entry.id).collect();
     (changes, entries, replica.known_committed(), replica.committed_id()).hash(state);
     replica.incarnation.hash(state);
-    format!("{:?}{:?}{:?}", replica.chain, replica.proposer, replica.waiting).hash(state);
+    format!("{:?}{:?}{:?}", replica.chain, replica.proposer, replica.blocked_commands).hash(state);
 }
 
 impl PartialEq for State {
@@ -172,9 +174,9 @@
                 Body::Prepare(prepare) => prepare.view.epoch >= epoch,
                 Body::Install(install) => install.view.epoch >= epoch,
                 Body::Accept(accept) => accept.view.epoch >= epoch,
-                Body::Promise(promise) => replica.proposer.is_at(promise.ballot),
-                Body::Installed(ballot) | Body::Accepted(ballot) => replica.proposer.is_at(*ballot),
-                Body::Nack(nack) => replica.proposer.is_at(nack.refused),
+                Body::Promise(promise) => replica.proposer.is_proposing(promise.ballot),
+                Body::Installed(ballot) | Body::Accepted(ballot) => replica.proposer.is_proposing(*ballot),
+                Body::Nack(nack) => replica.proposer.is_proposing(nack.refused),
                 Body::Decide(view) => view.epoch > epoch,
                 Body::Append(append) => append.epoch >= epoch,
                 Body::Commit(commit) => commit.epoch >= epoch,
@@ -231,7 +233,7 @@
             let heartbeat = state.nodes[pair[0]].replica.clone();
             let mut outputs = Vec::new();
             let mut head = heartbeat;
-            head.heartbeat_all();
+            head.send_heartbeat_to_voters();
             head.handle(NOW, Input::SeedsChanged(Vec::new()), &mut outputs);
             for output in outputs {
                 if let Output::Send { message, .. } = output {
@@ -250,12 +252,13 @@
         let mut replica = Replica::restore(NOW, options(place), disk.to_vec(), &mut Vec::new());
         let opinion = self.proposers.iter().find(|(proposer, _, _)| *proposer == place);
         let left_out = opinion.and_then(|(_, left_out, _)| left_out.map(id));
-        replica.proposer.healthy = Some(Duration::ZERO);
+        replica.proposer.healthy_since = Some(Duration::ZERO);
         for peer in replica.peers.voters_mut() {
             if Some(peer.sender.id) == left_out {
-                peer.heartbeat = Some(sick_heartbeat());
+                peer.heartbeat = Some(unhealthy_heartbeat());
             } else {
-                (peer.heard, peer.echoed, peer.healthy) = (Some(NOW), Some(NOW), Some(Duration::ZERO));
+                (peer.last_seen, peer.echoed_at, peer.healthy_since) =
+                    (Some(NOW), Some(NOW), Some(Duration::ZERO));
             }
         }
         replica
@@ -263,10 +266,10 @@
 }
 
 /// What a member with a sick disk says, once and for all.
-fn sick_heartbeat() -> Heartbeat {
+fn unhealthy_heartbeat() -> Heartbeat {
     Heartbeat {
         sent: Echo { incarnation: 0, sent: u64::MAX },
-        heard: None,
+        echo: None,
         epoch: 0,
         accepted: false,
         sealed: false,
@@ -274,8 +277,8 @@
         opened: false,
         last: EntryId::default(),
         committed: EntryId::default(),
-        disk_well: false,
-        leaving: false,
+        disk_healthy: false,
+        shutting_down: false,
         unreachable: 0,
         committed_bytes: 0,
     }
@@ -367,7 +370,7 @@
 }
 
 fn holds(replica: &Replica, version: u64) -> bool {
-    replica.state.changes().iter().any(|change| change.generation == version)
+    replica.state.headers().iter().any(|change| change.generation == version)
 }
 
 /// Explores all, or as many states as `CONTROL_MODEL_STATES` says.
