--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,36 +1,36 @@
-//! What may go wrong, with the file and the place in it.
+//! The errors of the log.
 
 use std::io;
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// What may go wrong.
+/// An error of the log.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StorageError {
-    /// The folder or a file can't be read, written or synced.
+    /// The directory or a file can't be read, written or synced.
     #[snafu(display("{action} {}: {source}", path.display()))]
     Io {
-        /// What was tried.
+        /// The operation that failed, as a verb for messages.
         action: &'static str,
-        /// On what.
+        /// The path it was applied to.
         path: PathBuf,
-        /// Why it failed.
+        /// The cause.
         source: io::Error,
     },
-    /// A record in the middle of a file is unsound: what came after it was acknowledged, so nothing is served.
+    /// A record before the last write is corrupt. Writes that follow it were acknowledged, so the log isn't opened.
     #[snafu(display("unsound record in {} at offset {offset}", path.display()))]
-    Unsound {
-        /// The file.
+    Corrupt {
+        /// The path of the file.
         path: PathBuf,
-        /// Where the record begins.
+        /// The offset of the record, in bytes.
         offset: u64,
     },
-    /// A record is longer than the file may hold.
+    /// A record is longer than 32 MiB.
     #[snafu(display("record of {length} bytes is too long"))]
-    TooLong {
-        /// Its length.
+    RecordTooLong {
+        /// The length of the record, in bytes.
         length: usize,
     },
 }
--- a/crates/storage/src/file_system.rs
+++ b/crates/storage/src/file_system.rs
@@ -1,78 +1,78 @@
-//! What the log asks of the file system, and the system's own.
+//! The file system as the log uses it, and the implementation by the operating system's.
 //!
-//! After a loss of power a file holds what its last sync covered; each later write is there, missing or torn. A name that was
-//! made, renamed or removed since the last sync of its folder may be kept or lost, each on its own.
+//! After a loss of power a file contains what its last sync covered; each later write is there, missing or torn. A name
+//! that was created, renamed or removed since the last sync of its directory may be kept or lost, each independently.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::Path;
 
-/// Files by name.
+/// A file system. Every method returns the error of the operating system as it is.
 pub trait FileSystem {
     /// An open file.
     type File: OpenFile;
 
-    /// Makes a folder and those above it that are missing, so that they last.
-    fn make_folder(&self, folder: &Path) -> io::Result<()>;
+    /// Creates a directory and its missing parents, durably. Does nothing if it exists.
+    fn create_directory(&self, directory: &Path) -> io::Result<()>;
 
-    /// The names in a folder.
-    fn names(&self, folder: &Path) -> io::Result<Vec<String>>;
+    /// The names of the entries of a directory, in any order. Names that aren't UTF-8 are left out.
+    fn list_names(&self, directory: &Path) -> io::Result<Vec<String>>;
 
-    /// Opens a file that is there.
+    /// Opens an existing file for reading and writing.
     fn open(&self, path: &Path) -> io::Result<Self::File>;
 
-    /// Makes an empty file, in place of one that is there.
+    /// Creates an empty file for reading and writing; an existing one is truncated.
     fn create(&self, path: &Path) -> io::Result<Self::File>;
 
-    /// Renames a file.
+    /// Renames a file, replacing one that has the new name. Durable after [`FileSystem::sync_directory`].
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
 
-    /// Removes a file.
+    /// Removes a file. Durable after [`FileSystem::sync_directory`].
     fn remove(&self, path: &Path) -> io::Result<()>;
 
-    /// Makes the names in a folder last.
-    fn sync_folder(&self, folder: &Path) -> io::Result<()>;
+    /// Makes the names in a directory durable.
+    fn sync_directory(&self, directory: &Path) -> io::Result<()>;
 }
 
-/// A file that is read once, written at offsets, cut and synced.
+/// A file that is read once, written at offsets, truncated and synced.
 pub trait OpenFile {
-    /// All that it holds.
+    /// Reads the whole file.
     fn read_all(&mut self) -> io::Result<Vec<u8>>;
 
-    /// Writes at an offset.
+    /// Writes all bytes at an offset, in bytes from the start.
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()>;
 
-    /// Cuts it to a length.
+    /// Truncates the file to a length in bytes.
     fn set_len(&mut self, length: u64) -> io::Result<()>;
 
-    /// Makes the file last, with what it holds.
+    /// Makes the contents and the metadata of the file durable.
     fn sync(&mut self) -> io::Result<()>;
 
-    /// Makes what it holds last.
+    /// Makes the contents of the file durable.
     fn sync_data(&mut self) -> io::Result<()>;
 }
 
-/// The file system of this machine.
+/// The operating system's file system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemFiles;
 
 impl FileSystem for SystemFiles {
     type File = File;
 
-    fn make_folder(&self, folder: &Path) -> io::Result<()> {
-        if folder.is_dir() {
+    fn create_directory(&self, directory: &Path) -> io::Result<()> {
+        if directory.is_dir() {
             return Ok(());
         }
-        let parent = folder.parent().filter(|parent| !parent.as_os_str().is_empty());
+        let parent = directory.parent().filter(|parent| !parent.as_os_str().is_empty());
         let parent = parent.unwrap_or(Path::new("."));
-        self.make_folder(parent)?;
-        fs::create_dir(folder)?;
-        self.sync_folder(parent)
+        self.create_directory(parent)?;
+        fs::create_dir(directory)?;
+        self.sync_directory(parent)
     }
 
-    fn names(&self, folder: &Path) -> io::Result<Vec<String>> {
+    fn list_names(&self, directory: &Path) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
-        for entry in fs::read_dir(folder)? {
+        for entry in fs::read_dir(directory)? {
             names.extend(entry?.file_name().into_string());
         }
         Ok(names)
@@ -94,8 +94,8 @@
         fs::remove_file(path)
     }
 
-    fn sync_folder(&self, folder: &Path) -> io::Result<()> {
-        File::open(folder)?.sync_all()
+    fn sync_directory(&self, directory: &Path) -> io::Result<()> {
+        File::open(directory)?.sync_all()
     }
 }
 
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,6 +1,6 @@
-//! An append-only file of checksummed records, rewritten when long.
+//! An append-only log of checksummed records in one file, which the caller rewrites when it grows long.
 //!
-//! Blocking, for the disk's own thread. `docs/control.md` says what is trusted of the disk.
+//! All calls block: they are meant for a thread of their own. `docs/control.md` states what the log assumes of the disk.
 
 mod error;
 mod file_system;
--- a/crates/storage/tests/log.rs
+++ b/crates/storage/tests/log.rs
@@ -125,7 +125,7 @@
         unsound[at] ^= 0x40;
         fs::write(log.path(), &unsound).expect("spoilt");
         match Log::open(&folder.0) {
-            Err(StorageError::Unsound { path, offset }) => assert_eq!((path, offset), (folder.file(1), kept)),
+            Err(StorageError::Corrupt { path, offset }) => assert_eq!((path, offset), (folder.file(1), kept)),
             other => panic!("byte {at}: {other:?}"),
         }
     }
@@ -190,7 +190,7 @@
     let folder = Folder::new("long");
     let (mut log, _, _) = Log::open(&folder.0).expect("made");
     let long = vec![0; (32 << 20) + 1];
-    assert!(matches!(log.append(&[&long]), Err(StorageError::TooLong { .. })));
+    assert!(matches!(log.append(&[&long]), Err(StorageError::RecordTooLong { .. })));
     assert_eq!(log.size(), 0);
     log.append(&[b"short"]).expect("appended");
     assert_eq!(records(&folder.0), ["short"]);
--- a/crates/storage/tests/power_loss.rs
+++ b/crates/storage/tests/power_loss.rs
@@ -180,11 +180,11 @@
 impl FileSystem for Files {
     type File = Handle;
 
-    fn make_folder(&self, _folder: &Path) -> io::Result<()> {
+    fn create_directory(&self, _folder: &Path) -> io::Result<()> {
         self.0.borrow_mut().call()
     }
 
-    fn names(&self, _folder: &Path) -> io::Result<Vec<String>> {
+    fn list_names(&self, _directory: &Path) -> io::Result<Vec<String>> {
         let mut disk = self.0.borrow_mut();
         disk.call()?;
         let names = disk.names.keys().filter_map(|path| path.file_name());
@@ -234,7 +234,7 @@
         Ok(())
     }
 
-    fn sync_folder(&self, _folder: &Path) -> io::Result<()> {
+    fn sync_directory(&self, _folder: &Path) -> io::Result<()> {
         let mut disk = self.0.borrow_mut();
         disk.call()?;
         disk.lasting = disk.names.clone();
