--- a/crates/control-plane/src/host/api_requests.rs
+++ b/crates/control-plane/src/host/api_requests.rs
@@ -155,7 +155,7 @@
             zone: &self.components.zone,
             replica: &self.components.replica,
             registry: &self.components.registry,
-            generation: self.current.as_ref().map(|current| current.mark.generation),
+            generation: self.current.as_ref().map(|current| current.version.generation),
             gateways: self.sessions.gateways().map(|gateway| gateway.node.clone()).collect(),
             fleet_gateways: self.components.gateways.total(self.now()).count,
             tenants_owned: self.components.quotas.owned_tenants(),
--- a/crates/control-plane/src/host/replication.rs
+++ b/crates/control-plane/src/host/replication.rs
@@ -98,15 +98,16 @@
 
     /// Puts a committed configuration into force.
     pub(super) fn apply_committed(&mut self, entry: &Entry) {
-        let mark = ConfigurationVersion { position: entry.id.position, generation: entry.command.generation };
+        let version =
+            ConfigurationVersion { position: entry.id.position, generation: entry.command.generation };
         match crankpick_configuration::read(&entry.command.bytes) {
             Ok(configuration) => self.components.quotas.configure(&RoutingTable::compile(&configuration)),
             Err(error) => {
                 warn!(self.components.log, "a committed configuration can't be read"; "cause" => %error)
             }
         }
-        info!(self.components.log, "configuration committed"; "generation" => mark.generation);
-        self.current = Some(CurrentConfiguration::new(mark, entry.command.bytes.clone()));
+        info!(self.components.log, "configuration committed"; "generation" => version.generation);
+        self.current = Some(CurrentConfiguration::new(version, entry.command.bytes.clone()));
         self.push_updates();
     }
 
--- a/crates/control-plane/src/sessions.rs
+++ b/crates/control-plane/src/sessions.rs
@@ -16,18 +16,18 @@
 #[derive(Clone, Debug)]
 pub struct CurrentConfiguration {
     /// The version.
-    pub mark: ConfigurationVersion,
+    pub version: ConfigurationVersion,
     /// The document as the operator sent it.
     pub document: Vec<u8>,
     /// The compressed document.
-    pub packed: Vec<u8>,
+    pub compressed: Vec<u8>,
 }
 
 impl CurrentConfiguration {
     /// Compresses a document as it was sent.
-    pub fn new(mark: ConfigurationVersion, document: Vec<u8>) -> Self {
-        let packed = compress(&document);
-        CurrentConfiguration { mark, document, packed }
+    pub fn new(version: ConfigurationVersion, document: Vec<u8>) -> Self {
+        let compressed = compress(&document);
+        CurrentConfiguration { version, document, compressed }
     }
 }
 
@@ -56,7 +56,7 @@
     cursor: Option<Cursor>,
     members: Vec<CoreMember>,
     reported: bool,
-    takes_packed: bool,
+    accepts_compressed: bool,
 }
 
 impl Session {
@@ -77,7 +77,7 @@
         grants: Vec<TenantGrant>,
         context: &UpdateContext<'_>,
     ) -> bool {
-        let configuration = context.current.filter(|current| Some(current.mark) > self.configuration);
+        let configuration = context.current.filter(|current| Some(current.version) > self.configuration);
         let changes = context.registry.changes_since(context.now, self.cursor);
         let has_changes = Some(changes.cursor) != self.cursor;
         if answers.is_none() && configuration.is_none() && !has_changes && grants.is_empty() {
@@ -90,14 +90,15 @@
             freshness_ms: context.freshness_ms,
             members: new_members.to_vec(),
             configuration: configuration.map(|current| ConfigurationUpdate {
-                mark: current.mark,
-                document: if self.takes_packed { &current.packed } else { &current.document }.clone(),
+                version: current.version,
+                document: if self.accepts_compressed { &current.compressed } else { &current.document }
+                    .clone(),
             }),
             changes: (has_changes || answers.is_some()).then_some(changes),
             gateways: context.gateways,
             grants,
         };
-        self.configuration = configuration.map(|current| current.mark).max(self.configuration);
+        self.configuration = configuration.map(|current| current.version).max(self.configuration);
         self.cursor = update.changes.as_ref().map(|changes| changes.cursor).or(self.cursor);
         if !new_members.is_empty() {
             self.members = new_members.to_vec();
@@ -123,7 +124,7 @@
             cursor: None,
             members: Vec::new(),
             reported: false,
-            takes_packed: false,
+            accepts_compressed: false,
         };
         self.open.insert(session, new_session);
     }
@@ -151,7 +152,7 @@
             open.reported = true;
             open.configuration = report.configuration;
             open.cursor = report.cursor;
-            open.takes_packed = report.takes_packed;
+            open.accepts_compressed = report.accepts_compressed;
         }
         if !open.send_update(Some(report.number), grants, context) {
             self.open.remove(&session);
--- a/crates/protocol/src/home.rs
+++ b/crates/protocol/src/home.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationUpdate {
     /// The version.
-    pub mark: ConfigurationVersion,
+    pub version: ConfigurationVersion,
     /// The document as the operator sent it, compressed if the gateway accepts that.
     #[serde(with = "serde_bytes")]
     pub document: Vec<u8>,
@@ -51,7 +51,7 @@
     pub demands: Vec<TenantDemand>,
     /// Whether it accepts compressed configurations. Earlier builds don't, and omit the field.
     #[serde(default)]
-    pub takes_packed: bool,
+    pub accepts_compressed: bool,
 }
 
 /// A demand for one tenant's quota.
--- a/crates/protocol/tests/fixtures.rs
+++ b/crates/protocol/tests/fixtures.rs
@@ -132,7 +132,7 @@
             TenantDemand { tenant: "with-claim".into(), demand: demand(Some(claim())) },
             TenantDemand { tenant: "without".into(), demand: demand(None) },
         ],
-        takes_packed: true,
+        accepts_compressed: true,
     };
     check_frame("report-full.hex", &full).await;
     let empty = GatewayReport {
@@ -140,7 +140,7 @@
         configuration: None,
         cursor: None,
         demands: Vec::new(),
-        takes_packed: false,
+        accepts_compressed: false,
     };
     check_frame("report-empty.hex", &empty).await;
 }
@@ -156,7 +156,7 @@
             CoreMember { address: address(3), zone: "zone-c".into() },
         ],
         configuration: Some(ConfigurationUpdate {
-            mark: configuration(),
+            version: configuration(),
             document: br#"{"generation":42}"#.to_vec(),
         }),
         changes: Some(changes()),
--- a/crates/protocol/tests/packed.rs
+++ b/crates/protocol/tests/packed.rs
@@ -65,5 +65,5 @@
     let earlier = EarlierReport { number: 3, configuration: None, cursor: None, demands: Vec::new() };
     let frame = encode(&earlier).unwrap();
     let report = FrameReader::new(&frame[..]).next::<GatewayReport>().await.unwrap().unwrap();
-    assert_eq!((report.number, report.takes_packed), (3, false));
+    assert_eq!((report.number, report.accepts_compressed), (3, false));
 }
--- a/crates/system/src/home_link.rs
+++ b/crates/system/src/home_link.rs
@@ -192,7 +192,7 @@
             configuration: self.configuration,
             cursor: self.builder.cursor(),
             demands,
-            takes_packed: true,
+            accepts_compressed: true,
         };
         if connection.reports.try_send(report).is_ok() {
             connection.sent.push_back((self.last_report, now));
@@ -258,7 +258,7 @@
             self.shared.set_gateways(count as usize);
         }
         let newer = |than: &Option<ConfigurationUpdate>, one: &ConfigurationUpdate| {
-            than.as_ref().is_none_or(|held| held.mark < one.mark)
+            than.as_ref().is_none_or(|held| held.version < one.version)
         };
         if let Some(told) = update.configuration.filter(|told| newer(&self.held_configuration, told)) {
             self.held_configuration = Some(told);
@@ -288,14 +288,14 @@
     /// Configurations are taken upwards only.
     fn publish_held_configuration(&mut self) {
         let Some(held) = self.held_configuration.take() else { return };
-        if Some(held.mark) <= self.configuration {
+        if Some(held.version) <= self.configuration {
             return;
         }
         match compiled(&held.document) {
             Ok(table) => {
-                info!(self.log, "configuration in force"; "generation" => held.mark.generation);
+                info!(self.log, "configuration in force"; "generation" => held.version.generation);
                 self.shared.publish_routing(Arc::new(table));
-                self.configuration = Some(held.mark);
+                self.configuration = Some(held.version);
                 self.unreadable = false;
             }
             Err(cause) => {
--- a/crates/system/tests/unit/home_link.rs
+++ b/crates/system/tests/unit/home_link.rs
@@ -27,7 +27,7 @@
 
 fn configuration(position: u64, document: &[u8]) -> ConfigurationUpdate {
     ConfigurationUpdate {
-        mark: ConfigurationVersion { position, generation: position },
+        version: ConfigurationVersion { position, generation: position },
         document: document.to_vec(),
     }
 }
