--- a/crates/system/src/home_link.rs
+++ b/crates/system/src/home_link.rs
@@ -70,7 +70,11 @@
             shared,
             grant_source: GrantSource::home(0),
             identity,
-            options: DialOptions { from: settings.ip, within: CONNECT_TIMEOUT, user_timeout: USER_TIMEOUT },
+            options: DialOptions {
+                from: settings.ip,
+                connect_timeout: CONNECT_TIMEOUT,
+                user_timeout: USER_TIMEOUT,
+            },
             selector: HomeSelector::new(started.elapsed(), selector_settings, fastrand::u64(..)),
             connections: BTreeMap::new(),
             events,
@@ -169,7 +173,7 @@
             configuration: self.configuration.in_force(),
             cursor: self.backends.cursor(),
             demands,
-            takes_packed: true,
+            accepts_compressed: true,
         };
         connection.send(now, report);
     }
--- a/crates/system/src/home_link/configuration_slot.rs
+++ b/crates/system/src/home_link/configuration_slot.rs
@@ -40,7 +40,7 @@
 
     /// Keeps the configuration if it is newer than the one that is pending.
     pub fn receive(&mut self, update: ConfigurationUpdate) {
-        if self.pending.as_ref().is_none_or(|pending| pending.mark < update.mark) {
+        if self.pending.as_ref().is_none_or(|pending| pending.version < update.version) {
             self.pending = Some(update);
         }
     }
@@ -48,14 +48,14 @@
     /// Puts the pending configuration in force, if it is newer and can be read.
     pub fn publish_pending(&mut self, shared: &Shared, log: &Logger) {
         let Some(pending) = self.pending.take() else { return };
-        if Some(pending.mark) <= self.in_force {
+        if Some(pending.version) <= self.in_force {
             return;
         }
         match compile(&pending.document) {
             Ok(table) => {
-                info!(log, "configuration in force"; "generation" => pending.mark.generation);
+                info!(log, "configuration in force"; "generation" => pending.version.generation);
                 shared.publish_routing(Arc::new(table));
-                self.in_force = Some(pending.mark);
+                self.in_force = Some(pending.version);
                 self.unreadable = false;
             }
             Err(cause) => {
--- a/crates/system/src/home_link/connection.rs
+++ b/crates/system/src/home_link/connection.rs
@@ -122,7 +122,7 @@
 ) -> Result<(), ProtocolError> {
     loop {
         let Ok(received) = timeout(HOME_TIMEOUT, reader.next::<HomeUpdate>()).await else {
-            return Err(ProtocolError::Stalled);
+            return Err(ProtocolError::TimedOut);
         };
         let Some(update) = received? else { return Ok(()) };
         if events.send(Event::Update(home, update)).await.is_err() {
