--- a/crates/control-plane/src/quotas.rs
+++ b/crates/control-plane/src/quotas.rs
@@ -9,7 +9,7 @@
 use crankpick_control::View;
 use crankpick_protocol::{TenantDemand, TenantGrant};
 use crankpick_quota::{
-    Allocator, GrantSource, HolderId, QuotaBounds, QuotaLimit, LEASE, TOKENS_OF_ONE_EPOCH,
+    Allocator, GrantSource, HolderId, QuotaBounds, QuotaLimit, LEASE_DURATION, TOKENS_PER_EPOCH,
 };
 use crankpick_registry::{Now, ProcessId};
 
@@ -200,7 +200,7 @@
         limit: QuotaLimit,
         others: &[ProcessId],
     ) -> &mut Allocator {
-        let total = self.bounds.total(limit, now + LEASE);
+        let total = self.bounds.total(limit, now + LEASE_DURATION);
         match self.owned.entry(tenant.to_owned()) {
             Entry::Occupied(owned) => {
                 let allocator = owned.into_mut();
@@ -208,7 +208,7 @@
                 allocator
             }
             Entry::Vacant(place) => {
-                let token = self.epoch * TOKENS_OF_ONE_EPOCH;
+                let token = self.epoch * TOKENS_PER_EPOCH;
                 let fresh = Allocator::new(now, GrantSource::OWNER, token).with_nonce(entropy::draw());
                 let allocator = place.insert(fresh);
                 allocator.set_total(now, total);
@@ -231,7 +231,7 @@
         let mut settled = Vec::new();
         for TenantGrant { tenant, grant } in grants {
             let Some(lent) = self.lent.get_mut(&tenant) else { continue };
-            lent.renewed(now, sent_at, grant);
+            lent.apply_grant(now, sent_at, grant);
             settled.extend(settle(now, &tenant, lent));
         }
         settled
@@ -249,7 +249,7 @@
 }
 
 fn settle(now: Now, tenant: &str, lent: &mut Allocator) -> Vec<(HolderId, TenantGrant)> {
-    let settled = lent.settle(now).into_iter();
+    let settled = lent.grant_pending(now).into_iter();
     settled.map(|(holder, grant)| (holder, TenantGrant { tenant: tenant.to_owned(), grant })).collect()
 }
 
--- a/crates/control-plane/tests/unit/quotas.rs
+++ b/crates/control-plane/tests/unit/quotas.rs
@@ -6,7 +6,7 @@
 use crankpick_configuration::RoutingTable;
 use crankpick_control::{EntryId, Member, MemberId, View};
 use crankpick_protocol::TenantDemand;
-use crankpick_quota::{Demand, HolderId, QuotaBounds, LEASE};
+use crankpick_quota::{Demand, HolderId, QuotaBounds, LEASE_DURATION};
 use crankpick_registry::ProcessId;
 
 use super::{owner, Quotas};
@@ -126,9 +126,9 @@
     let sent = home.demands(begin).remove(0);
     let grants = home.own(begin, ProcessId(9), sent.epoch, sent.demands, FRESH, &[]);
     home.granted(begin, sent.number, grants);
-    let lent_until = begin + LEASE;
+    let lent_until = begin + LEASE_DURATION;
     let mut now = begin;
-    while now < lent_until + LEASE {
+    while now < lent_until + LEASE_DURATION {
         let demands = home.demands(now);
         let answered: usize = demands
             .into_iter()
--- a/crates/control-plane/tests/unit/wire.rs
+++ b/crates/control-plane/tests/unit/wire.rs
@@ -7,7 +7,7 @@
 
 use crankpick_control::{Body, MemberId, Message, Sender};
 use crankpick_protocol::{encode, FrameReader, TenantDemand, TenantGrant};
-use crankpick_quota::{Claim, Demand, Grant, GrantSource, Lineage};
+use crankpick_quota::{Demand, Grant, GrantSource, HeldLease, OwnerIncarnation};
 use crankpick_registry::{
     Announcement, Digest, GatewayId, GatewayRecord, Heartbeat, HeartbeatState, LoadedModel, ProcessId,
     Registry, RegistrySettings,
@@ -88,10 +88,16 @@
 }
 
 fn demands() -> Vec<TenantDemand> {
-    let claim =
-        Claim { token: 3, number: 4, rate: 5.5, burst: 6.25, debt: 7.125, left: Duration::new(2, 500) };
-    let demand = Demand { rate: 1.5, need: 2.5, level: -3.5, returned: 4.5, claim: Some(claim) };
-    let without_claim = Demand { claim: None, ..demand };
+    let claim = HeldLease {
+        token: 3,
+        number: 4,
+        rate: 5.5,
+        burst: 6.25,
+        debt: 7.125,
+        remaining: Duration::new(2, 500),
+    };
+    let demand = Demand { rate: 1.5, need: 2.5, level: -3.5, returned: 4.5, held_lease: Some(claim) };
+    let without_claim = Demand { held_lease: None, ..demand };
     vec![
         TenantDemand { tenant: "with-claim".into(), demand },
         TenantDemand { tenant: "without".into(), demand: without_claim },
@@ -102,7 +108,7 @@
     let grant = Grant {
         source: GrantSource::OWNER,
         token: 11,
-        lineage: Lineage { token: 12, nonce: 13 },
+        owner: OwnerIncarnation { token: 12, nonce: 13 },
         number: 14,
         rate: 15.5,
         burst: 16.5,
--- a/crates/gateway/src/quotas.rs
+++ b/crates/gateway/src/quotas.rs
@@ -82,7 +82,7 @@
         let Some(holder) = holders.get_mut(&tenant.name).filter(|_| tenant.is_limited()) else {
             return Ok(());
         };
-        let taken = if again { holder.take_again(now, amount) } else { holder.take(now, amount) };
+        let taken = if again { holder.retry_take(now, amount) } else { holder.take(now, amount) };
         if taken {
             return Ok(());
         }
@@ -119,7 +119,7 @@
 
     pub fn renewed(&self, now: Now, sent_at: Now, tenant: &str, grant: Grant) -> bool {
         let mut holders = self.lock();
-        let taken = holders.get_mut(tenant).is_some_and(|holder| holder.renewed(now, sent_at, grant));
+        let taken = holders.get_mut(tenant).is_some_and(|holder| holder.apply_grant(now, sent_at, grant));
         if taken {
             self.granted.notify_waiters();
         }
--- a/crates/gateway/tests/serving/admission.rs
+++ b/crates/gateway/tests/serving/admission.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crankpick_gateway::Cause;
-use crankpick_quota::{Grant, GrantSource, Lineage};
+use crankpick_quota::{Grant, GrantSource, OwnerIncarnation};
 
 use crate::stand_ins::*;
 
@@ -66,7 +66,7 @@
     Grant {
         source: GrantSource::OWNER,
         token: 1,
-        lineage: Lineage { token: 1, nonce: 1 },
+        owner: OwnerIncarnation { token: 1, nonce: 1 },
         number,
         rate,
         burst,
--- a/crates/protocol/tests/fixtures.rs
+++ b/crates/protocol/tests/fixtures.rs
@@ -10,7 +10,7 @@
     compress, decompress, encode, Caller, ConfigurationUpdate, ConfigurationVersion, CoreMember, FrameReader,
     GatewayIdentity, GatewayReport, Handshake, HomeUpdate, TenantDemand, TenantGrant,
 };
-use crankpick_quota::{Claim, Demand, Grant, GrantSource, Lineage};
+use crankpick_quota::{Demand, Grant, GrantSource, HeldLease, OwnerIncarnation};
 use crankpick_registry::{
     Changes, Cursor, GatewayTotal, Heartbeat, HeartbeatState, LoadedModel, ProcessId, Registry,
     RegistrySettings,
@@ -65,19 +65,26 @@
     ConfigurationVersion { position: 41, generation: 42 }
 }
 
-fn claim() -> Claim {
-    Claim { token: 3, number: 4, rate: 5.5, burst: 6.25, debt: 7.125, left: Duration::new(2, 500_000_000) }
+fn claim() -> HeldLease {
+    HeldLease {
+        token: 3,
+        number: 4,
+        rate: 5.5,
+        burst: 6.25,
+        debt: 7.125,
+        remaining: Duration::new(2, 500_000_000),
+    }
 }
 
-fn demand(claim: Option<Claim>) -> Demand {
-    Demand { rate: 1.5, need: 2.5, level: -3.5, returned: 4.5, claim }
+fn demand(held_lease: Option<HeldLease>) -> Demand {
+    Demand { rate: 1.5, need: 2.5, level: -3.5, returned: 4.5, held_lease }
 }
 
 fn grant(source: GrantSource) -> Grant {
     Grant {
         source,
         token: 11,
-        lineage: Lineage { token: 12, nonce: 13 },
+        owner: OwnerIncarnation { token: 12, nonce: 13 },
         number: 14,
         rate: 15.5,
         burst: 16.5,
--- a/crates/quota/src/bounds.rs
+++ b/crates/quota/src/bounds.rs
@@ -1,79 +1,81 @@
-//! What a tenant may take, and how the margin of the rule is divided.
+//! The limit of a tenant, and how the margin above it is divided.
 
 use std::time::Duration;
 
 use crate::Now;
 
-/// The part of the margin that is lent out as additional rate.
-const RATE_PART: f64 = 0.10;
-/// The part of the margin that deepens buckets.
-const BURST_PART: f64 = 0.25;
-/// The part of the margin that buckets may go into debt by. It counts twice: a process that restarts has
-/// forgotten its debt.
-const DEBT_PART: f64 = 0.15;
-/// The part of the margin for gateways without a lease. The rest is for what a lost owner had lent.
-const FLOOR_PART: f64 = 0.10;
+/// The fraction of the margin that is leased as additional rate.
+const RATE_FRACTION: f64 = 0.10;
+/// The fraction of the margin that deepens buckets.
+const BURST_FRACTION: f64 = 0.25;
+/// The fraction of the margin by which buckets may go into debt. It counts twice, since a process that
+/// restarts has lost its debt.
+const DEBT_FRACTION: f64 = 0.15;
+/// The fraction of the margin for gateways without a lease. The rest covers leases of a lost owner.
+const FLOOR_FRACTION: f64 = 0.10;
 
-/// How strictly the sum over all gateways is judged.
+/// How far the sum over all gateways may exceed a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaBounds {
     /// The window over which the sum is taken.
     pub window: Duration,
-    /// The part by which the sum may exceed rate x window + burst.
+    /// The fraction of rate x window + burst by which the sum may exceed it.
     pub over: f64,
-    /// What the sum may exceed that by.
+    /// By how much the sum may exceed it besides, in units.
     pub slack: f64,
 }
 
-/// What a tenant may take.
+/// The limit of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaLimit {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
-    /// Units above that.
+    /// Units besides, in any window.
     pub burst: f64,
 }
 
-/// What an allocator may lend.
+/// What an allocator may lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Total {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
-    /// The sum of the depths of all buckets, its own included.
+    /// The sum of the depths of all buckets, its own pool included, in units.
     pub burst: f64,
-    /// The sum of all debts.
+    /// The sum of all debts, in units.
     pub debt: f64,
-    /// When this ends.
+    /// When the total expires.
     pub valid_until: Now,
 }
 
 impl QuotaBounds {
-    /// The most that may be taken in one window.
-    pub fn most(&self, limit: QuotaLimit) -> f64 {
-        self.plain(limit) + self.margin(limit)
+    /// The maximum sum over one window, in units.
+    pub fn max_per_window(&self, limit: QuotaLimit) -> f64 {
+        self.limit_per_window(limit) + self.margin(limit)
     }
 
-    /// What the owner may lend until `valid_until`.
+    /// What the owner may lease until `valid_until`.
     pub fn total(&self, limit: QuotaLimit, valid_until: Now) -> Total {
         let margin = self.margin(limit);
         Total {
-            rate: limit.rate + margin * RATE_PART / self.window.as_secs_f64(),
-            burst: limit.burst + margin * BURST_PART,
-            debt: margin * DEBT_PART,
+            rate: limit.rate + margin * RATE_FRACTION / self.window.as_secs_f64(),
+            burst: limit.burst + margin * BURST_FRACTION,
+            debt: margin * DEBT_FRACTION,
             valid_until,
         }
     }
 
-    /// The rate of a gateway without a lease, one of `gateways`.
+    /// The rate of a gateway without a lease, one of `gateways`, in units per second.
     pub(crate) fn floor_rate(&self, limit: QuotaLimit, gateways: u32) -> f64 {
-        self.margin(limit) * FLOOR_PART / self.window.as_secs_f64() / f64::from(gateways.max(1))
+        self.margin(limit) * FLOOR_FRACTION / self.window.as_secs_f64() / f64::from(gateways.max(1))
     }
 
-    fn plain(&self, limit: QuotaLimit) -> f64 {
+    /// The sum that the limit itself allows over one window, in units.
+    fn limit_per_window(&self, limit: QuotaLimit) -> f64 {
         limit.rate * self.window.as_secs_f64() + limit.burst
     }
 
+    /// By how much the sum over one window may exceed the limit, in units.
     fn margin(&self, limit: QuotaLimit) -> f64 {
-        self.plain(limit) * self.over + self.slack
+        self.limit_per_window(limit) * self.over + self.slack
     }
 }
--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -1,13 +1,13 @@
-//! A bucket of units, filled at a rate up to a depth.
+//! A token bucket: filled at a rate up to a depth, and paid credits besides.
 
 use std::time::Duration;
 
 use crate::Now;
 
-/// How long a bucket stays above its depth after a credit.
-const SURPLUS_LASTS: Duration = Duration::from_secs(1);
+/// How long a bucket may stay above its depth after a credit.
+const SURPLUS_DURATION: Duration = Duration::from_secs(1);
 
-/// A bucket. What overflows is kept apart, to be returned to whoever lent it.
+/// A token bucket. What overflows is counted, to be returned to the source of the lease.
 #[derive(Clone, Debug)]
 pub(crate) struct Bucket {
     level: f64,
@@ -22,36 +22,36 @@
         Self { level: 0.0, overflow: 0.0, filled_at: now, credited_at: now }
     }
 
-    /// What is in it; below zero when in debt.
+    /// The level, in units; negative if it is in debt.
     pub fn level(&self) -> f64 {
         self.level
     }
 
-    /// Until when it has been filled.
+    /// The time up to which it has been filled.
     pub fn filled_at(&self) -> Now {
         self.filled_at
     }
 
-    /// Fills it from when it was last filled until `until`.
+    /// Fills it up to the time `until`, at `rate` units per second, to the level `depth` at most.
     pub fn fill(&mut self, until: Now, rate: f64, depth: f64) {
         let elapsed = until.saturating_sub(self.filled_at).as_secs_f64();
         self.filled_at = self.filled_at.max(until);
         let accrued = rate * elapsed;
-        let room = (depth - self.level).clamp(0.0, accrued);
-        self.level += room;
-        self.overflow += accrued - room;
-        if self.level > depth && self.filled_at.saturating_sub(self.credited_at) >= SURPLUS_LASTS {
+        let added = (depth - self.level).clamp(0.0, accrued);
+        self.level += added;
+        self.overflow += accrued - added;
+        if self.level > depth && self.filled_at.saturating_sub(self.credited_at) >= SURPLUS_DURATION {
             self.overflow += self.level - depth;
             self.level = depth;
         }
     }
 
-    /// Cuts it down to a depth; what was above is lost.
-    pub fn cut(&mut self, depth: f64) {
+    /// Lowers the level to `depth` at most; what was above is lost.
+    pub fn truncate(&mut self, depth: f64) {
         self.level = self.level.min(depth);
     }
 
-    /// Pays into it, above its depth if need be.
+    /// Adds `amount` units, even above its depth.
     pub fn pay(&mut self, now: Now, amount: f64) {
         if amount > 0.0 {
             self.level += amount;
@@ -59,17 +59,17 @@
         }
     }
 
-    /// Takes out of it.
+    /// Removes `amount` units, even below zero.
     pub fn take(&mut self, amount: f64) {
         self.level -= amount;
     }
 
-    /// Counts what could not be paid into it as overflow.
-    pub fn overflowed(&mut self, amount: f64) {
+    /// Counts units that were not paid into it as overflow.
+    pub fn add_overflow(&mut self, amount: f64) {
         self.overflow += amount;
     }
 
-    /// What has overflowed since this was last asked.
+    /// Returns the overflow since the last call, in units, and resets it.
     pub fn take_overflow(&mut self) -> f64 {
         std::mem::take(&mut self.overflow)
     }
--- a/crates/quota/src/holder.rs
+++ b/crates/quota/src/holder.rs
@@ -1,20 +1,20 @@
-//! A gateway's bucket, filled at the rate that it was leased.
+//! The token bucket of a gateway, filled at the rate that it has leased.
 
 use std::time::Duration;
 
 use crate::bounds::{QuotaBounds, QuotaLimit};
 use crate::bucket::Bucket;
 use crate::demand_estimate::DemandEstimate;
-use crate::message::{Claim, Demand, Grant, GrantSource};
-use crate::urgency::Urgency;
+use crate::message::{Demand, Grant, GrantSource, HeldLease};
+use crate::unmet_need::UnmetNeed;
 use crate::Now;
 
-/// The most sources whose leases run at once.
+/// The maximum number of sources whose leases run at once.
 const MAX_LEASES: usize = 4;
-/// What is there may lack this part of an amount.
-const ROUNDING: f64 = 1e-6;
-/// The bucket of a gateway without a lease is as deep as its floor rate over this time.
-const FLOOR_DEPTH: Duration = Duration::from_secs(4);
+/// The fraction of an amount that may be missing because of rounding.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
+/// The bucket of a gateway without a lease is as deep as what its floor rate fills in this time.
+const FLOOR_FILL_TIME: Duration = Duration::from_secs(4);
 
 #[derive(Clone, Copy, Debug)]
 struct Lease {
@@ -22,7 +22,7 @@
     until: Now,
 }
 
-/// What the leases that run add up to.
+/// The sum of the leases that run, or the floor.
 #[derive(Clone, Copy, Debug, Default)]
 struct Allowance {
     rate: f64,
@@ -30,155 +30,152 @@
     debt: f64,
 }
 
-/// Spends what was leased of one tenant's rate.
+/// Spends the leased share of one tenant's rate.
 #[derive(Clone, Debug)]
 pub struct Holder {
     leases: Vec<Lease>,
+    /// The rate without a lease, in units per second.
     floor_rate: f64,
     bucket: Bucket,
     estimate: DemandEstimate,
-    urgency: Urgency,
+    unmet_need: UnmetNeed,
 }
 
 impl Holder {
-    /// A holder without a lease.
+    /// Creates a holder without a lease, with an empty bucket.
     pub fn new(now: Now) -> Self {
         Self {
             leases: Vec::new(),
             floor_rate: 0.0,
             bucket: Bucket::new(now),
             estimate: DemandEstimate::default(),
-            urgency: Urgency::new(now),
+            unmet_need: UnmetNeed::new(now),
         }
     }
 
-    /// Sets what this gateway, one of `gateways`, may take without a lease.
+    /// Sets the rate without a lease, for one of `gateways` gateways.
     pub fn set_floor(&mut self, now: Now, bounds: &QuotaBounds, limit: QuotaLimit, gateways: u32) {
-        self.roll(now);
+        self.fill_bucket(now);
         self.floor_rate = bounds.floor_rate(limit, gateways);
     }
 
-    /// Takes `amount` for a request that has just come in; whether it may be admitted.
+    /// Takes `amount` units for a new request; returns whether it is admitted. If it is not, the need is
+    /// reported ahead of time.
     pub fn take(&mut self, now: Now, amount: f64) -> bool {
         self.estimate.add(now, amount);
         let taken = self.try_take(now, amount);
         if !taken {
             let need = self.need_for(now, amount).min(amount);
-            self.urgency.add(now, need);
+            self.unmet_need.add(now, need);
         }
         taken
     }
 
-    /// Takes `amount` for a request that `take` has not admitted and that was held since.
-    pub fn take_again(&mut self, now: Now, amount: f64) -> bool {
+    /// Takes `amount` units for a request that [`take`](Self::take) has not admitted and that waits since;
+    /// returns whether it is admitted.
+    pub fn retry_take(&mut self, now: Now, amount: f64) -> bool {
         let taken = self.try_take(now, amount);
         if !taken {
             let need = self.need_for(now, amount);
-            self.urgency.at_least(now, need);
+            self.unmet_need.raise_to(now, need);
         }
         taken
     }
 
-    /// Takes `amount` if it is there.
+    /// Takes `amount` units if they are available, with debt.
     fn try_take(&mut self, now: Now, amount: f64) -> bool {
-        self.roll(now);
-        let there = self.bucket.level() + self.allowance(now).debt;
-        let enough = there >= amount * (1.0 - ROUNDING);
+        self.fill_bucket(now);
+        let available = self.bucket.level() + self.allowance(now).debt;
+        let enough = available >= amount * (1.0 - ROUNDING_TOLERANCE);
         if enough {
             self.bucket.take(amount);
         }
         enough
     }
 
-    /// What to ask for. It counts on half of the debt only: that may be less by the time the answer comes.
+    /// The units to ask for. Only half of the debt is counted on, since the next grant may allow less.
     fn need_for(&self, now: Now, amount: f64) -> f64 {
         amount - self.bucket.level() - self.allowance(now).debt / 2.0
     }
 
-    /// When `amount` may be taken, if no credit comes before; none while nobody can say.
+    /// How long until `amount` units are available if no credit arrives; `None` if the rate is 0.
     pub fn wait_for(&mut self, now: Now, amount: f64) -> Option<Duration> {
-        self.roll(now);
+        self.fill_bucket(now);
         let allowance = self.allowance(now);
-        let lacking = amount - self.bucket.level() - allowance.debt;
-        if lacking <= 0.0 {
+        let missing = amount - self.bucket.level() - allowance.debt;
+        if missing <= 0.0 {
             return Some(Duration::ZERO);
         }
         if allowance.rate <= 0.0 {
             return None;
         }
-        Duration::try_from_secs_f64(lacking / allowance.rate).ok()
+        Duration::try_from_secs_f64(missing / allowance.rate).ok()
     }
 
-    /// Whether a report should be sent at once, since a request could not be admitted.
+    /// Whether to report at once, because a request was not admitted.
     pub fn urgent(&self, now: Now) -> bool {
         self.report_at(now).is_some_and(|at| at <= now)
     }
 
-    /// When to report, ahead of the next regular report, because requests could not be admitted.
+    /// When to report, ahead of the next regular report, because requests were not admitted; `None` if all
+    /// were.
     pub fn report_at(&self, now: Now) -> Option<Now> {
-        self.urgency.report_at(now)
+        self.unmet_need.report_at(now)
     }
 
-    /// Whether anything was asked for lately, or a lease runs: whether to report.
+    /// Whether to send regular reports: there were requests in the last seconds, or a lease runs.
     pub fn active(&mut self, now: Now) -> bool {
         self.estimate.rate(now) > 0.0 || self.leases.iter().any(|lease| lease.until > now)
     }
 
-    /// What to report to `source`.
+    /// The demand to report to `source`. Resets what it returns of the bucket's overflow.
     pub fn demand(&mut self, now: Now, source: GrantSource) -> Demand {
-        self.roll(now);
-        self.urgency.reported(now);
+        self.fill_bucket(now);
+        self.unmet_need.record_report(now);
         let held = self.leases.iter().find(|lease| lease.grant.source == source && lease.until > now);
-        let claim = held.map(|lease| Claim {
-            token: lease.grant.token,
-            number: lease.grant.number,
-            rate: lease.grant.rate,
-            burst: lease.grant.burst,
-            debt: lease.grant.debt,
-            left: lease.until - now,
-        });
+        let held_lease = held.map(|lease| HeldLease::new(&lease.grant, lease.until - now));
         Demand {
             rate: self.estimate.rate(now),
-            need: self.urgency.need(now),
+            need: self.unmet_need.amount(now),
             level: self.bucket.level(),
             returned: self.bucket.take_overflow(),
-            claim,
+            held_lease,
         }
     }
 
-    /// Takes a grant; the report that it answers was sent at `sent_at`. Whether it was taken.
-    pub fn renewed(&mut self, now: Now, sent_at: Now, grant: Grant) -> bool {
-        self.roll(now);
+    /// Applies a grant; the report that it answers was sent at `sent_at`. Returns false, and changes nothing but
+    /// to remove ended leases, if the grant is not newer than that of its source, or if it descends from an
+    /// owner before that of another lease.
+    pub fn apply_grant(&mut self, now: Now, sent_at: Now, grant: Grant) -> bool {
+        self.fill_bucket(now);
         let until = sent_at + grant.valid_for;
         self.leases.retain(|lease| lease.until > now || lease.grant.source == grant.source);
-        let held = self.leases.iter().position(|lease| lease.grant.source == grant.source);
-        let held_number = held.map(|index| (self.leases[index].grant.token, self.leases[index].grant.number));
-        if held_number.is_some_and(|number| (grant.token, grant.number) <= number) || self.fenced(now, &grant)
-        {
+        let held = self.leases.iter().find(|lease| lease.grant.source == grant.source);
+        let is_superseded = held.is_some_and(|lease| grant.version() <= lease.grant.version());
+        if is_superseded || self.is_fenced(now, &grant) {
             return false;
         }
-        self.leases
-            .retain(|lease| lease.grant.lineage == grant.lineage && lease.grant.source != grant.source);
+        self.leases.retain(|lease| lease.grant.owner == grant.owner && lease.grant.source != grant.source);
         if self.leases.len() >= MAX_LEASES {
             self.leases.remove(0);
         }
         self.leases.push(Lease { grant, until });
         if until > now {
             self.bucket.pay(now, grant.credit);
-            self.urgency.credited(grant.credit);
+            self.unmet_need.record_credit(grant.credit);
         }
         true
     }
 
-    /// The rate that is leased by now.
+    /// The rate at `now`, in units per second: the sum of the leases that run, or the floor.
     pub fn rate(&self, now: Now) -> f64 {
         self.allowance(now).rate
     }
 
-    /// Whether the grant comes from an owner earlier than that of a lease which runs.
-    fn fenced(&self, now: Now, grant: &Grant) -> bool {
+    /// Whether the grant descends from an owner before that of a lease which runs.
+    fn is_fenced(&self, now: Now, grant: &Grant) -> bool {
         let running = self.leases.iter().filter(|lease| lease.until > now);
-        running.into_iter().any(|lease| lease.grant.lineage.token > grant.lineage.token)
+        running.into_iter().any(|lease| lease.grant.owner.token > grant.owner.token)
     }
 
     fn allowance(&self, now: Now) -> Allowance {
@@ -190,13 +187,13 @@
         }
         if sum.rate < self.floor_rate {
             sum.rate = self.floor_rate;
-            sum.depth = sum.depth.max(self.floor_rate * FLOOR_DEPTH.as_secs_f64());
+            sum.depth = sum.depth.max(self.floor_rate * FLOOR_FILL_TIME.as_secs_f64());
         }
         sum
     }
 
-    /// Fills the bucket up to now, lease by lease as they end.
-    fn roll(&mut self, now: Now) {
+    /// Fills the bucket up to `now`, at the lower rate from each time on at which a lease ends.
+    fn fill_bucket(&mut self, now: Now) {
         while self.bucket.filled_at() < now {
             let from = self.bucket.filled_at();
             let ends = self.leases.iter().map(|lease| lease.until).filter(|until| *until > from);
@@ -205,7 +202,7 @@
             self.bucket.fill(until, allowance.rate, allowance.depth);
         }
         if self.leases.iter().all(|lease| lease.until <= now) {
-            self.bucket.cut(self.allowance(now).depth);
+            self.bucket.truncate(self.allowance(now).depth);
             self.bucket.take_overflow();
         }
     }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,8 +1,10 @@
 //! Rates leased from one owner to many holders: tenants' quotas and retry budgets. No I/O.
 //!
-//! The owner of a tenant leases its rate, in an [`Allocator`], to homes; a home leases what it got, in an
-//! [`Allocator`] of its own, to gateways; a gateway spends it through a [`Holder`]. What the sum of all may
-//! take follows from [`QuotaBounds`]. A [`RetryBudget`] needs nobody else.
+//! The owner of a tenant leases its rate, through an [`Allocator`], to homes. A home leases what it got,
+//! through an [`Allocator`] of its own, to gateways. A gateway spends it through a [`Holder`], which is a
+//! token bucket. [`QuotaBounds`] limits the sum over all gateways. A [`RetryBudget`] is local to a gateway.
+//!
+//! Rates are in units per second and amounts in units: tokens or requests, whichever a limit counts.
 
 mod allocator;
 mod bounds;
@@ -12,16 +14,16 @@
 mod message;
 mod reservation;
 mod retry_budget;
-mod urgency;
+mod unmet_need;
 
-pub use allocator::{Allocator, TOKENS_OF_ONE_EPOCH};
+pub use allocator::{Allocator, TOKENS_PER_EPOCH};
 pub use bounds::{QuotaBounds, QuotaLimit, Total};
 pub use holder::Holder;
-pub use message::{Claim, Demand, Grant, GrantSource, HolderId, Lineage};
+pub use message::{Demand, Grant, GrantSource, HeldLease, HolderId, OwnerIncarnation};
 pub use retry_budget::{RetryBudget, RetryBudgetSettings};
 
-/// Time since the process began, by its steady clock.
+/// The time since the start of the process, by its monotonic clock.
 pub type Now = std::time::Duration;
 
 /// How long a lease runs after its last renewal.
-pub const LEASE: std::time::Duration = std::time::Duration::from_secs(5);
+pub const LEASE_DURATION: std::time::Duration = std::time::Duration::from_secs(5);
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -1,88 +1,128 @@
-//! What allocators and holders say to each other.
+//! The messages between allocators and holders. All rates are in units per second, and all amounts in units:
+//! tokens or requests, whichever the limit counts.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// One start of a process that holds leases: drawn at random at each start.
+use crate::reservation::Share;
+
+/// One incarnation of a lease holder: drawn at random at each start of its process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct HolderId(pub u64);
 
-/// Who grants. Leases of different sources add up; one source's grants supersede each other.
+/// The source of a grant. Leases of different sources add up; of one source, a newer grant supersedes the
+/// older ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GrantSource(pub u64);
 
 impl GrantSource {
-    /// Whoever owns the tenant, by its fencing token.
+    /// The owner of the tenant, whichever process it is; owners are told apart by their fencing tokens.
     pub const OWNER: Self = Self(0);
 
-    /// A home: one start of a control-plane process.
+    /// A home: one incarnation of a control-plane process.
     pub fn home(process: u64) -> Self {
         Self(process.max(1))
     }
 }
 
-/// The owner that a lease comes from in the end. What one owner has lent, a later one does not count: leases
-/// of a former lineage end when one of a later lineage is taken.
+/// The incarnation of the owner that a lease descends from. An owner does not know what a former one has
+/// leased, so a holder that takes a lease of a later owner ends its leases of the former one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Lineage {
+pub struct OwnerIncarnation {
     /// The owner's fencing token.
     pub token: u64,
-    /// Drawn at each start of an owner.
+    /// A random number, drawn at each start of an owner.
     pub nonce: u64,
 }
 
-/// What a holder asks for.
+/// The report of a holder: what it asks for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
-    /// What it is asked for, a second.
+    /// The rate of its requests, in units per second.
     pub rate: f64,
-    /// What it lacks for requests that it could not admit just now.
+    /// What it needs besides for requests that wait, in units.
     pub need: f64,
-    /// What is in its bucket; below zero when it is in debt.
+    /// The level of its bucket, in units; negative if it is in debt.
     pub level: f64,
-    /// What has overflowed its bucket since the last report: given back.
+    /// What has overflowed its bucket since its last report and is returned, in units.
     pub returned: f64,
-    /// The newest grant of the asked source that it holds.
-    pub claim: Option<Claim>,
+    /// The newest lease that it has of the source it reports to.
+    #[serde(rename = "claim")]
+    pub held_lease: Option<HeldLease>,
 }
 
-/// The lease that a holder says it holds.
+/// A lease that a holder reports to have.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Claim {
-    /// The token of its grant.
+pub struct HeldLease {
+    /// The fencing token of its grant.
     pub token: u64,
     /// The number of its grant.
     pub number: u64,
-    /// Its rate, a second.
+    /// Its rate, in units per second.
     pub rate: f64,
-    /// The depth of its bucket.
+    /// The depth of its bucket, in units.
     pub burst: f64,
-    /// The debt that it may go into.
+    /// How far its bucket may go below zero, in units.
     pub debt: f64,
     /// How much longer it runs.
-    pub left: Duration,
+    #[serde(rename = "left")]
+    pub remaining: Duration,
 }
 
-/// A lease of a part of a rate.
+impl HeldLease {
+    /// The lease of `grant`, which runs for `remaining`.
+    pub(crate) fn new(grant: &Grant, remaining: Duration) -> Self {
+        let Grant { token, number, rate, burst, debt, .. } = *grant;
+        Self { token, number, rate, burst, debt, remaining }
+    }
+
+    /// The share of the total that it leases.
+    pub(crate) fn share(&self) -> Share {
+        Share { rate: self.rate, burst: self.burst, debt: self.debt }
+    }
+}
+
+/// A lease of a share of a total.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Who grants.
+    /// The source that grants.
     pub source: GrantSource,
-    /// The fencing token: a holder takes none that is lower than one it has seen of this source.
+    /// The fencing token of the allocator. A holder refuses a grant with a lower one than it has of this
+    /// source.
     pub token: u64,
-    /// The owner that this comes from.
-    pub lineage: Lineage,
-    /// Rises with each grant under one token.
+    /// The owner that the lease descends from.
+    #[serde(rename = "lineage")]
+    pub owner: OwnerIncarnation,
+    /// The number of this grant; rises with each grant under one token.
     pub number: u64,
-    /// The rate, a second.
+    /// The leased rate, in units per second.
     pub rate: f64,
-    /// The depth of the bucket.
+    /// The depth of the bucket, in units.
     pub burst: f64,
-    /// How far the bucket may go below zero.
+    /// How far the bucket may go below zero, in units.
     pub debt: f64,
-    /// Paid into the bucket once, at the arrival of this grant.
+    /// Units to pay into the bucket once, when this grant arrives.
     pub credit: f64,
-    /// How long the lease runs, from the moment that the report it answers was sent.
+    /// How long the lease runs, from the time at which the report that it answers was sent.
     pub valid_for: Duration,
 }
+
+impl Grant {
+    /// The version by which this supersedes older grants of its source.
+    pub(crate) fn version(&self) -> GrantVersion {
+        GrantVersion { token: self.token, number: self.number }
+    }
+
+    /// The share of the total that it leases.
+    pub(crate) fn share(&self) -> Share {
+        Share { rate: self.rate, burst: self.burst, debt: self.debt }
+    }
+}
+
+/// The order of the grants of one source: by fencing token, then by number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct GrantVersion {
+    token: u64,
+    number: u64,
+}
--- a/crates/quota/src/reservation.rs
+++ b/crates/quota/src/reservation.rs
@@ -1,28 +1,26 @@
-//! What one holder may still hold, from the grants sent to it.
+//! What one holder may still hold, by the grants sent to it.
 
-use crate::message::{Claim, Grant};
+use std::ops::{Add, Sub};
+
+use crate::message::{Grant, HeldLease};
 use crate::Now;
 
-/// The most grants of one holder that are told apart.
+/// The maximum number of grants of one holder that are stored separately.
 const MAX_OUTSTANDING: usize = 8;
 
-/// A part of a total.
+/// A share of a total.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Part {
+pub(crate) struct Share {
+    /// Units per second.
     pub rate: f64,
+    /// The depth of a bucket, in units.
     pub burst: f64,
+    /// How far a bucket may go below zero, in units.
     pub debt: f64,
 }
 
-impl Part {
-    pub fn plus(self, other: Self) -> Self {
-        Self { rate: self.rate + other.rate, burst: self.burst + other.burst, debt: self.debt + other.debt }
-    }
-
-    pub fn minus(self, other: Self) -> Self {
-        Self { rate: self.rate - other.rate, burst: self.burst - other.burst, debt: self.debt - other.debt }
-    }
-
+impl Share {
+    /// The greater of both in each field.
     fn max(self, other: Self) -> Self {
         Self {
             rate: self.rate.max(other.rate),
@@ -32,52 +30,69 @@
     }
 }
 
+impl Add for Share {
+    type Output = Self;
+
+    fn add(self, other: Self) -> Self {
+        Self { rate: self.rate + other.rate, burst: self.burst + other.burst, debt: self.debt + other.debt }
+    }
+}
+
+impl Sub for Share {
+    type Output = Self;
+
+    fn sub(self, other: Self) -> Self {
+        Self { rate: self.rate - other.rate, burst: self.burst - other.burst, debt: self.debt - other.debt }
+    }
+}
+
 #[derive(Clone, Copy, Debug)]
-struct Outstanding {
+struct OutstandingGrant {
     number: u64,
-    part: Part,
+    share: Share,
     until: Now,
 }
 
-/// What one holder may still hold: the most of the grants that it has not shown to be superseded.
+/// What one holder may still hold: any of the grants that it has not shown to be superseded.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Reservation {
-    outstanding: Vec<Outstanding>,
+    /// Oldest first.
+    outstanding: Vec<OutstandingGrant>,
 }
 
 impl Reservation {
-    /// A part that the holder is believed to hold, by no known grant.
-    pub fn add_unknown(&mut self, part: Part, until: Now) {
-        self.push(Outstanding { number: 0, part, until });
+    /// Adds a share that the holder may have by a grant that is not known here.
+    pub fn add_unknown(&mut self, share: Share, until: Now) {
+        self.push(OutstandingGrant { number: 0, share, until });
     }
 
-    /// A grant was sent.
-    pub fn granted(&mut self, grant: &Grant, until: Now) {
-        let part = Part { rate: grant.rate, burst: grant.burst, debt: grant.debt };
-        self.push(Outstanding { number: grant.number, part, until });
+    /// Adds a grant that was sent to the holder.
+    pub fn add_grant(&mut self, grant: &Grant, until: Now) {
+        self.push(OutstandingGrant { number: grant.number, share: grant.share(), until });
     }
 
-    /// The holder showed a grant of this token: those before it are superseded.
-    pub fn confirmed(&mut self, claim: &Claim) {
-        self.outstanding.retain(|grant| grant.number >= claim.number);
+    /// Removes the grants before one that the holder has shown under the current token.
+    pub fn confirm(&mut self, held: &HeldLease) {
+        self.outstanding.retain(|grant| grant.number >= held.number);
     }
 
-    /// Drops what has ended; whether nothing is left.
+    /// Removes the grants that have ended; returns whether none is left.
     pub fn expire(&mut self, now: Now) -> bool {
         self.outstanding.retain(|grant| grant.until > now);
         self.outstanding.is_empty()
     }
 
-    /// The most that the holder may hold.
-    pub fn most(&self) -> Part {
-        self.outstanding.iter().fold(Part::default(), |most, grant| most.max(grant.part))
+    /// The most that the holder may have, whichever of its grants have arrived.
+    pub fn upper_bound(&self) -> Share {
+        self.outstanding.iter().fold(Share::default(), |bound, grant| bound.max(grant.share))
     }
 
-    fn push(&mut self, grant: Outstanding) {
+    /// Adds a grant; beyond the maximum number, the oldest is merged into the next so that it still counts.
+    fn push(&mut self, grant: OutstandingGrant) {
         if self.outstanding.len() >= MAX_OUTSTANDING {
             let oldest = self.outstanding.remove(0);
             if let Some(next) = self.outstanding.first_mut() {
-                next.part = next.part.max(oldest.part);
+                next.share = next.share.max(oldest.share);
                 next.until = next.until.max(oldest.until);
             }
         }
--- a/crates/quota/src/retry_budget.rs
+++ b/crates/quota/src/retry_budget.rs
@@ -1,46 +1,50 @@
-//! The budget of requests sent to a second backend. Local: no partition can break it.
+//! The budget of retries: requests that are sent to a second backend.
 //!
-//! In any window a gateway repeats at most a fixed part of its own requests in that window, and a share of
-//! the fleet's slack. Summed over all gateways this keeps the rule, whoever is cut off.
+//! In any window a gateway retries at most a fixed fraction of its own requests in that window, plus a share
+//! of the fleet's slack. It decides by itself, so the sum over all gateways keeps the limit during a network
+//! partition too.
 
 use std::time::Duration;
 
 use crate::Now;
 
+/// The number of bins that the window is divided into.
 const BINS: usize = 20;
-/// The part of the allowed ratio that is used.
-const RATIO_PART: f64 = 0.75;
-/// The part of the allowed slack that is used.
-const SLACK_PART: f64 = 0.8;
-/// The part of its share that a process uses in its first window: its predecessor may have used the whole.
-const RESTART_PART: f64 = 0.25;
+/// The fraction of the allowed ratio that is used.
+const RATIO_FRACTION: f64 = 0.75;
+/// The fraction of the allowed slack that is used.
+const SLACK_FRACTION: f64 = 0.8;
+/// The fraction of its share that a process uses in its first window, since the process before it may have
+/// used all of it.
+const FIRST_WINDOW_FRACTION: f64 = 0.25;
 
-/// The rule's figures.
+/// The limit on retries over the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetSettings {
-    /// Repeats allowed for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Repeats allowed besides, over all gateways.
+    /// Retries allowed besides in each window, over all gateways.
     pub slack: f64,
-    /// The window over which both are counted.
+    /// The window over which requests and retries are counted.
     pub window: Duration,
 }
 
-/// The budget of one service at one gateway.
+/// The retry budget of one service at one gateway.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     settings: RetryBudgetSettings,
     gateways: u32,
     requests: [u32; BINS],
-    repeats: [u32; BINS],
-    newest: u64,
+    retries: [u32; BINS],
+    /// The number of the newest bin since the start of the clock.
+    newest_bin: u64,
 }
 
 impl RetryBudget {
-    /// A budget of a gateway that is one of `gateways`.
+    /// Creates the budget of one of `gateways` gateways.
     pub fn new(settings: RetryBudgetSettings, gateways: u32) -> Self {
         let gateways = gateways.max(1);
-        Self { settings, gateways, requests: [0; BINS], repeats: [0; BINS], newest: 0 }
+        Self { settings, gateways, requests: [0; BINS], retries: [0; BINS], newest_bin: 0 }
     }
 
     /// Sets the number of gateways that share the slack.
@@ -48,46 +52,47 @@
         self.gateways = gateways.max(1);
     }
 
-    /// A request for the service came in.
+    /// Records a request for the service.
     pub fn deposit(&mut self, now: Now) {
         self.advance(now);
-        let bin = &mut self.requests[self.newest as usize % BINS];
+        let bin = &mut self.requests[self.newest_bin as usize % BINS];
         *bin = bin.saturating_add(1);
     }
 
-    /// A request is to be sent to a second backend; whether it may.
+    /// Takes one retry out of the budget; returns whether there was one.
     pub fn take(&mut self, now: Now) -> bool {
         if self.left(now) < 1.0 {
             return false;
         }
-        let bin = &mut self.repeats[self.newest as usize % BINS];
+        let bin = &mut self.retries[self.newest_bin as usize % BINS];
         *bin = bin.saturating_add(1);
         true
     }
 
-    /// How many more requests may be repeated by now.
+    /// The number of retries left at `now`; may be fractional or negative.
     pub fn left(&mut self, now: Now) -> f64 {
         self.advance(now);
         let requests: u32 = self.requests.iter().sum();
-        let repeats: u32 = self.repeats.iter().sum();
-        let share = self.settings.slack * SLACK_PART / f64::from(self.gateways);
+        let retries: u32 = self.retries.iter().sum();
+        let share = self.settings.slack * SLACK_FRACTION / f64::from(self.gateways);
         let first_window = now < self.settings.window;
-        let share = if first_window { share * RESTART_PART } else { share };
-        f64::from(requests) * self.settings.ratio * RATIO_PART + share - f64::from(repeats)
+        let share = if first_window { share * FIRST_WINDOW_FRACTION } else { share };
+        f64::from(requests) * self.settings.ratio * RATIO_FRACTION + share - f64::from(retries)
     }
 
+    /// Moves on to the bin of `now`, and clears the bins that it passes.
     fn advance(&mut self, now: Now) {
         let width = (self.settings.window.as_nanos() / (BINS as u128 - 1)).max(1);
         let bin = u64::try_from(now.as_nanos() / width).unwrap_or(u64::MAX);
-        if bin >= self.newest + BINS as u64 {
+        if bin >= self.newest_bin + BINS as u64 {
             self.requests = [0; BINS];
-            self.repeats = [0; BINS];
-            self.newest = bin;
+            self.retries = [0; BINS];
+            self.newest_bin = bin;
         }
-        while self.newest < bin {
-            self.newest += 1;
-            self.requests[self.newest as usize % BINS] = 0;
-            self.repeats[self.newest as usize % BINS] = 0;
+        while self.newest_bin < bin {
+            self.newest_bin += 1;
+            self.requests[self.newest_bin as usize % BINS] = 0;
+            self.retries[self.newest_bin as usize % BINS] = 0;
         }
     }
 }
--- /dev/null
+++ b/crates/quota/src/unmet_need.rs
@@ -0,0 +1,73 @@
+//! The need that was not met, and when it justifies a report ahead of the regular one.
+
+use std::time::Duration;
+
+use crate::Now;
+
+/// The minimum interval between two reports because of a need.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(15);
+/// The minimum interval after a report that brought no credit.
+const MIN_INTERVAL_WITHOUT_CREDIT: Duration = Duration::from_millis(100);
+/// How long a need counts after it was last recorded.
+const NEED_LIFETIME: Duration = Duration::from_millis(300);
+
+/// The units that are needed beyond those available, and the time of the last report about them.
+#[derive(Clone, Debug)]
+pub(crate) struct UnmetNeed {
+    amount: f64,
+    recorded_at: Now,
+    reported_at: Option<Now>,
+    /// Whether no credit has come since the last report of a need.
+    awaits_credit: bool,
+}
+
+impl UnmetNeed {
+    /// No need.
+    pub fn new(now: Now) -> Self {
+        Self { amount: 0.0, recorded_at: now, reported_at: None, awaits_credit: false }
+    }
+
+    /// Records that `amount` more units are needed.
+    pub fn add(&mut self, now: Now, amount: f64) {
+        self.amount = self.amount(now) + amount;
+        self.recorded_at = now;
+    }
+
+    /// Records that at least `amount` units are needed in all.
+    pub fn raise_to(&mut self, now: Now, amount: f64) {
+        self.amount = self.amount(now).max(amount);
+        self.recorded_at = now;
+    }
+
+    /// The needed units; 0 once the need was recorded too long ago.
+    pub fn amount(&self, now: Now) -> f64 {
+        if now.saturating_sub(self.recorded_at) < NEED_LIFETIME {
+            self.amount
+        } else {
+            0.0
+        }
+    }
+
+    /// Records that a report was sent.
+    pub fn record_report(&mut self, now: Now) {
+        self.reported_at = Some(now);
+        self.awaits_credit = self.amount(now) > 0.0;
+    }
+
+    /// Records that a credit has arrived.
+    pub fn record_credit(&mut self, amount: f64) {
+        if amount > 0.0 {
+            self.amount = (self.amount - amount).max(0.0);
+            self.awaits_credit = false;
+        }
+    }
+
+    /// When to report because of the need; `None` without a need.
+    pub fn report_at(&self, now: Now) -> Option<Now> {
+        if self.amount(now) <= 0.0 {
+            return None;
+        }
+        let interval = if self.awaits_credit { MIN_INTERVAL_WITHOUT_CREDIT } else { MIN_REPORT_INTERVAL };
+        Some(self.reported_at.map_or(now, |reported_at| now.max(reported_at + interval)))
+    }
+}
--- a/crates/quota/tests/holder.rs
+++ b/crates/quota/tests/holder.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crankpick_quota::{Grant, GrantSource, Holder, Lineage, QuotaBounds, QuotaLimit};
+use crankpick_quota::{Grant, GrantSource, Holder, OwnerIncarnation, QuotaBounds, QuotaLimit};
 
 const BOUNDS: QuotaBounds = QuotaBounds { window: Duration::from_secs(8), over: 0.1, slack: 0.0 };
 const LIMIT: QuotaLimit = QuotaLimit { rate: 1_000.0, burst: 1_000.0 };
@@ -11,7 +11,7 @@
     Grant {
         source: GrantSource::home(source),
         token: 1,
-        lineage: Lineage { token: 1, nonce: 1 },
+        owner: OwnerIncarnation { token: 1, nonce: 1 },
         number,
         rate: 100.0,
         burst: 200.0,
@@ -29,7 +29,7 @@
 fn a_lease_ends_and_leaves_a_floor() {
     let mut holder = Holder::new(at(0.0));
     holder.set_floor(at(0.0), &BOUNDS, LIMIT, 10);
-    assert!(holder.renewed(at(1.0), at(0.9), grant(1, 1)));
+    assert!(holder.apply_grant(at(1.0), at(0.9), grant(1, 1)));
     assert_eq!(holder.rate(at(5.8)), 100.0);
     // A frozen holder finds its lease ended, and its bucket cut to its floor's depth.
     assert!(holder.rate(at(5.95)) < 2.0);
@@ -40,7 +40,7 @@
 #[test]
 fn debt_is_bounded_and_repaid() {
     let mut holder = Holder::new(at(0.0));
-    assert!(holder.renewed(at(1.0), at(1.0), grant(1, 1)));
+    assert!(holder.apply_grant(at(1.0), at(1.0), grant(1, 1)));
     assert!(!holder.take(at(4.0), 251.0));
     assert!(holder.take(at(4.0), 249.0));
     assert!(!holder.take(at(4.0), 2.0));
@@ -51,9 +51,9 @@
 #[test]
 fn leases_of_two_homes_add_up_until_the_former_ends() {
     let mut holder = Holder::new(at(0.0));
-    assert!(holder.renewed(at(1.0), at(1.0), grant(1, 7)));
-    assert!(holder.renewed(at(3.0), at(3.0), grant(2, 1)));
-    assert!(!holder.renewed(at(3.0), at(3.0), grant(2, 1)));
+    assert!(holder.apply_grant(at(1.0), at(1.0), grant(1, 7)));
+    assert!(holder.apply_grant(at(3.0), at(3.0), grant(2, 1)));
+    assert!(!holder.apply_grant(at(3.0), at(3.0), grant(2, 1)));
     assert_eq!(holder.rate(at(5.9)), 200.0);
     assert_eq!(holder.rate(at(6.1)), 100.0);
 }
--- a/crates/quota/tests/path.rs
+++ b/crates/quota/tests/path.rs
@@ -31,14 +31,14 @@
     now += Duration::from_millis(20);
     assert!(home.urgent(now));
     round(now, &mut owner, &mut home, &mut holder);
-    assert!(holder.take_again(now, 60_000.0));
+    assert!(holder.retry_take(now, 60_000.0));
 }
 
 /// The home renews its lease, then the gateway does.
 fn round(now: Duration, owner: &mut Allocator, home: &mut Allocator, holder: &mut Holder) {
     owner.set_total(now, BOUNDS.total(LIMIT, now + Duration::from_secs(5)));
     let grant = owner.report(now, HolderId(5), home.demand(now));
-    assert!(home.renewed(now, now, grant));
+    assert!(home.apply_grant(now, now, grant));
     let grant = home.report(now, HolderId(9), holder.demand(now, GrantSource::home(5)));
-    assert!(holder.renewed(now, now, grant));
+    assert!(holder.apply_grant(now, now, grant));
 }
--- a/crates/quota/tests/serialized_format.rs
+++ b/crates/quota/tests/serialized_format.rs
@@ -9,7 +9,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use crankpick_quota::{Claim, Demand, Grant, GrantSource, HolderId, Lineage};
+use crankpick_quota::{Demand, Grant, GrantSource, HeldLease, HolderId, OwnerIncarnation};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
@@ -44,21 +44,21 @@
 }
 
 /// Each field has a value of its own.
-const LINEAGE: Lineage = Lineage { token: 7 << 20, nonce: 0x1234_5678_9abc_def0 };
-const CLAIM: Claim = Claim {
+const OWNER_INCARNATION: OwnerIncarnation = OwnerIncarnation { token: 7 << 20, nonce: 0x1234_5678_9abc_def0 };
+const HELD_LEASE: HeldLease = HeldLease {
     token: 7_340_033,
     number: 41,
     rate: 274.5,
     burst: 1_024.25,
     debt: 12.125,
-    left: Duration::new(3, 250_000_000),
+    remaining: Duration::new(3, 250_000_000),
 };
 const DEMAND: Demand =
-    Demand { rate: 310.5, need: 60_000.0, level: -4.75, returned: 2.5, claim: Some(CLAIM) };
+    Demand { rate: 310.5, need: 60_000.0, level: -4.75, returned: 2.5, held_lease: Some(HELD_LEASE) };
 const GRANT: Grant = Grant {
     source: GrantSource(5),
     token: 7_340_034,
-    lineage: LINEAGE,
+    owner: OWNER_INCARNATION,
     number: 42,
     rate: 275.5,
     burst: 1_025.25,
@@ -72,14 +72,14 @@
     assert_message("holder-id", &HolderId(0x1234_5678_9abc_def0));
     assert_message("grant-source-owner", &GrantSource::OWNER);
     assert_message("grant-source-home", &GrantSource::home(5));
-    assert_message("lineage", &LINEAGE);
+    assert_message("lineage", &OWNER_INCARNATION);
 }
 
 #[test]
 fn demands_keep_their_form() {
-    assert_message("claim", &CLAIM);
+    assert_message("claim", &HELD_LEASE);
     assert_message("demand", &DEMAND);
-    assert_message("demand-without-claim", &Demand { claim: None, ..DEMAND });
+    assert_message("demand-without-claim", &Demand { held_lease: None, ..DEMAND });
     assert_message("demand-default", &Demand::default());
 }
 
--- a/crates/quota/tests/sizes.rs
+++ b/crates/quota/tests/sizes.rs
@@ -25,7 +25,7 @@
         owner.set_total(later, bounds.total(limit, later + Duration::from_secs(5)));
         let demand = holder.demand(later, GrantSource::OWNER);
         let grant = owner.report(later, HolderId(0x1234_5678_9abc_def0), demand);
-        assert!(holder.renewed(later, later, grant));
+        assert!(holder.apply_grant(later, later, grant));
         sizes = (rmp_serde::to_vec(&demand).unwrap().len(), rmp_serde::to_vec(&grant).unwrap().len());
     }
     let (demand, grant) = sizes;
--- a/crates/quota/tests/support/fleet.rs
+++ b/crates/quota/tests/support/fleet.rs
@@ -9,11 +9,11 @@
 use super::measure::{Outcome, Reference, Window};
 use super::parts::{Event, Fault, FleetSettings, Gateway, Home, Owner, Queued, Waiting};
 
-const REPORT_EVERY: Duration = Duration::from_millis(250);
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 /// How long a gateway holds a request that waits for a credit.
-const PATIENCE: Duration = Duration::from_millis(300);
+const MAX_WAIT: Duration = Duration::from_millis(300);
 /// How long the owner's right lasts after it was last confirmed.
-const FRESH_FOR: Duration = Duration::from_secs(5);
+const OWNERSHIP_DURATION: Duration = Duration::from_secs(5);
 
 pub struct Fleet {
     settings: FleetSettings,
@@ -111,13 +111,13 @@
 
     fn start_gateway(&mut self, gateway: usize) {
         let id = self.gateways[gateway].id;
-        let after = REPORT_EVERY.mul_f64(self.random.f64());
+        let after = REPORT_INTERVAL.mul_f64(self.random.f64());
         self.push(after, Event::GatewayTick(gateway, id));
     }
 
     fn start_home(&mut self, home: usize) {
         let id = self.homes[home].id;
-        let after = REPORT_EVERY.mul_f64(self.random.f64());
+        let after = REPORT_INTERVAL.mul_f64(self.random.f64());
         self.push(after, Event::HomeTick(home, id));
     }
 
@@ -156,7 +156,7 @@
             }
             Event::GatewayPoll(..) | Event::HomePoll(..) => {}
             Event::OwnerTick => {
-                self.push(REPORT_EVERY, Event::OwnerTick);
+                self.push(REPORT_INTERVAL, Event::OwnerTick);
                 self.refresh_owners();
             }
             Event::GatewayReport { gateway, id, home, sent_at, demand } => {
@@ -164,7 +164,7 @@
             }
             Event::GatewayGrant { gateway, id, sent_at, grant } => {
                 if self.gateways[gateway].id == id && !self.gateways[gateway].cut {
-                    self.gateways[gateway].holder.renewed(self.now, sent_at, grant);
+                    self.gateways[gateway].holder.apply_grant(self.now, sent_at, grant);
                     self.retry_waiting(gateway);
                 }
             }
@@ -236,7 +236,7 @@
         let limit = self.limit();
         for owner in self.owners.iter_mut().filter(|owner| owner.up) {
             let confirmed_at = owner.lost_at.unwrap_or(self.now);
-            let total = self.settings.bounds.total(limit, confirmed_at + FRESH_FOR);
+            let total = self.settings.bounds.total(limit, confirmed_at + OWNERSHIP_DURATION);
             owner.allocator.set_total(self.now, total);
         }
     }
@@ -257,13 +257,13 @@
     fn retry_waiting(&mut self, gateway: usize) {
         let waiting = std::mem::take(&mut self.gateways[gateway].waiting);
         for request in waiting {
-            if self.gateways[gateway].holder.take_again(self.now, request.amount) {
+            if self.gateways[gateway].holder.retry_take(self.now, request.amount) {
                 let wait = self.now - request.since;
                 self.outcome.waited += 1;
                 self.outcome.wait += wait;
                 self.outcome.longest_wait = self.outcome.longest_wait.max(wait);
                 self.taken(request.amount);
-            } else if self.now - request.since < PATIENCE {
+            } else if self.now - request.since < MAX_WAIT {
                 self.gateways[gateway].waiting.push(request);
             } else if request.owed {
                 self.outcome.refused += request.amount;
@@ -276,7 +276,7 @@
         if self.gateways[gateway].id != id {
             return;
         }
-        self.push(REPORT_EVERY, Event::GatewayTick(gateway, id));
+        self.push(REPORT_INTERVAL, Event::GatewayTick(gateway, id));
         let limit = self.limit();
         let count = self.settings.gateways as u32;
         self.gateways[gateway].holder.set_floor(self.now, &self.settings.bounds, limit, count);
@@ -309,7 +309,7 @@
         let grant = self.homes[home].allocator.report(self.now, holder, demand);
         let link = self.link();
         self.push(link, Event::GatewayGrant { gateway, id, sent_at, grant });
-        self.home_settle(home);
+        self.home_grant_pending(home);
         self.home_poll(home);
     }
 
@@ -317,8 +317,8 @@
         if self.homes[home].id != id {
             return;
         }
-        self.push(REPORT_EVERY, Event::HomeTick(home, id));
-        self.home_settle(home);
+        self.push(REPORT_INTERVAL, Event::HomeTick(home, id));
+        self.home_grant_pending(home);
         if self.homes[home].up && (self.homes[home].allocator.holders() > 0) {
             self.home_report(home);
         }
@@ -343,7 +343,7 @@
         let grant = self.owners[owner].allocator.report(self.now, HolderId(id), demand);
         let link = self.link();
         self.push(link, Event::HomeGrant { home, id, sent_at, grant });
-        for (holder, grant) in self.owners[owner].allocator.settle(self.now) {
+        for (holder, grant) in self.owners[owner].allocator.grant_pending(self.now) {
             let Some(home) = self.homes.iter().position(|home| home.id == holder.0) else {
                 continue;
             };
@@ -357,12 +357,12 @@
         if self.homes[home].id != id || !self.homes[home].up || self.homes[home].cut {
             return;
         }
-        self.homes[home].allocator.renewed(self.now, sent_at, grant);
-        self.home_settle(home);
+        self.homes[home].allocator.apply_grant(self.now, sent_at, grant);
+        self.home_grant_pending(home);
     }
 
-    fn home_settle(&mut self, home: usize) {
-        for (holder, grant) in self.homes[home].allocator.settle(self.now) {
+    fn home_grant_pending(&mut self, home: usize) {
+        for (holder, grant) in self.homes[home].allocator.grant_pending(self.now) {
             let Some(gateway) = self.gateways.iter().position(|gateway| gateway.id == holder.0) else {
                 continue;
             };
@@ -427,7 +427,8 @@
     fn take_over(&mut self, split_home: Option<usize>) {
         let token = self.owners.len() as u64 + 1;
         let mut allocator = Allocator::new(self.now, GrantSource::OWNER, token).with_nonce(token);
-        allocator.set_total(self.now, self.settings.bounds.total(self.limit(), self.now + FRESH_FOR));
+        allocator
+            .set_total(self.now, self.settings.bounds.total(self.limit(), self.now + OWNERSHIP_DURATION));
         allocator.rebuild(self.now, self.homes.iter().filter(|home| home.up).map(|home| HolderId(home.id)));
         self.owners.push(Owner { allocator, up: true, lost_at: None });
         let newest = self.owners.len() - 1;
--- a/crates/quota/tests/support/measure.rs
+++ b/crates/quota/tests/support/measure.rs
@@ -60,7 +60,7 @@
             self.sum -= self.taken.pop_front().unwrap().1;
         }
         let plain = limit.rate * self.bounds.window.as_secs_f64() + limit.burst;
-        (self.sum / self.bounds.most(limit), self.sum / plain)
+        (self.sum / self.bounds.max_per_window(limit), self.sum / plain)
     }
 }
 
--- a/crates/quota/tests/trace.rs
+++ b/crates/quota/tests/trace.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use crankpick_quota::{Allocator, Grant, GrantSource, Holder, HolderId, QuotaBounds, QuotaLimit, LEASE};
+use crankpick_quota::{
+    Allocator, Grant, GrantSource, Holder, HolderId, QuotaBounds, QuotaLimit, LEASE_DURATION,
+};
 
 const BOUNDS: QuotaBounds = QuotaBounds { window: Duration::from_secs(8), over: 0.1, slack: 140_000.0 };
 const HOME: HolderId = HolderId(5);
@@ -46,15 +48,15 @@
 
     fn renew(&mut self) {
         self.now += Duration::from_millis(250);
-        self.owner.set_total(self.now, BOUNDS.total(self.limit, self.now + LEASE));
+        self.owner.set_total(self.now, BOUNDS.total(self.limit, self.now + LEASE_DURATION));
         let grant = self.owner.report(self.now, HOME, self.home.demand(self.now));
         self.note("owner to home", &grant);
-        self.home.renewed(self.now, self.now, grant);
+        self.home.apply_grant(self.now, self.now, grant);
         for index in 0..self.gateways.len() {
             let demand = self.gateways[index].demand(self.now, GrantSource::home(5));
             let grant = self.home.report(self.now, HolderId(10 + index as u64), demand);
             self.note(&format!("home to gateway {index}"), &grant);
-            self.gateways[index].renewed(self.now, self.now, grant);
+            self.gateways[index].apply_grant(self.now, self.now, grant);
         }
     }
 
@@ -76,7 +78,7 @@
     trace.take(0, 9_000.0);
     trace.lines.push("the owner is lost".to_owned());
     trace.owner = Allocator::new(trace.now, GrantSource::OWNER, 2);
-    trace.owner.set_total(trace.now, BOUNDS.total(trace.limit, trace.now + LEASE));
+    trace.owner.set_total(trace.now, BOUNDS.total(trace.limit, trace.now + LEASE_DURATION));
     trace.owner.rebuild(trace.now, [HOME, HolderId(6)]);
     trace.renew();
     trace.renew();
@@ -94,11 +96,11 @@
     let mut trace = Trace::new();
     (0..4).for_each(|_| trace.renew());
     trace.owner = Allocator::new(trace.now, GrantSource::OWNER, 1).with_nonce(9);
-    trace.owner.set_total(trace.now, BOUNDS.total(trace.limit, trace.now + LEASE));
+    trace.owner.set_total(trace.now, BOUNDS.total(trace.limit, trace.now + LEASE_DURATION));
     let sent_at = trace.now;
     let grant = trace.owner.report(trace.now, HOME, trace.home.demand(trace.now));
     assert_eq!(grant.token, 2);
-    assert!(trace.home.renewed(trace.now, sent_at, grant));
+    assert!(trace.home.apply_grant(trace.now, sent_at, grant));
 }
 
 /// Grants of an owner that was replaced are refused, and its leases end with the first later one.
@@ -111,5 +113,5 @@
     trace.owner = Allocator::new(trace.now, GrantSource::OWNER, 2);
     trace.renew();
     let grant = late.report(trace.now, HOME, demand);
-    assert!(!trace.home.renewed(trace.now, trace.now, grant));
+    assert!(!trace.home.apply_grant(trace.now, trace.now, grant));
 }
