--- a/crates/control-plane/src/quotas.rs
+++ b/crates/control-plane/src/quotas.rs
@@ -9,7 +9,7 @@
 use crankpick_control::View;
 use crankpick_protocol::{TenantDemand, TenantGrant};
 use crankpick_quota::{
-    Allocator, GrantSource, HolderId, QuotaBounds, QuotaLimit, LEASE, TOKENS_OF_ONE_EPOCH,
+    Allocator, GrantSource, HolderId, QuotaBounds, QuotaLimit, LEASE_DURATION, TOKENS_PER_EPOCH,
 };
 use crankpick_registry::{Now, ProcessId};
 
@@ -211,7 +211,7 @@
         limit: QuotaLimit,
         others: &[ProcessId],
     ) -> &mut Allocator {
-        let total = self.bounds.total(limit, now + LEASE);
+        let total = self.bounds.total(limit, now + LEASE_DURATION);
         match self.owned.entry(tenant.to_owned()) {
             Entry::Occupied(owned) => {
                 let allocator = owned.into_mut();
@@ -219,7 +219,7 @@
                 allocator
             }
             Entry::Vacant(vacant) => {
-                let token = self.epoch * TOKENS_OF_ONE_EPOCH;
+                let token = self.epoch * TOKENS_PER_EPOCH;
                 let new = Allocator::new(now, GrantSource::OWNER, token).with_nonce(random_id());
                 let allocator = vacant.insert(new);
                 allocator.set_total(now, total);
@@ -243,7 +243,7 @@
         let mut granted = Vec::new();
         for TenantGrant { tenant, grant } in grants {
             let Some(allocator) = self.leased.get_mut(&tenant) else { continue };
-            allocator.renewed(now, sent_at, grant);
+            allocator.apply_grant(now, sent_at, grant);
             granted.extend(take_grants(now, &tenant, allocator));
         }
         granted
@@ -261,7 +261,7 @@
 }
 
 fn take_grants(now: Now, tenant: &str, allocator: &mut Allocator) -> Vec<(HolderId, TenantGrant)> {
-    let granted = allocator.settle(now).into_iter();
+    let granted = allocator.grant_pending(now).into_iter();
     granted.map(|(holder, grant)| (holder, TenantGrant { tenant: tenant.to_owned(), grant })).collect()
 }
 
