--- a/crates/registry/src/table.rs
+++ b/crates/registry/src/table.rs
@@ -41,16 +41,6 @@
         self.services.get(service).map_or(&[], |records| records)
     }
 
-    /// The backends of a service, as a shared slice.
-    pub fn shared_service(&self, service: &str) -> Option<Arc<[Arc<BackendRecord>]>> {
-        self.services.get(service).cloned()
-    }
-
-    /// All services that have a backend.
-    pub fn services(&self) -> impl Iterator<Item = (&str, &Arc<[Arc<BackendRecord>]>)> {
-        self.services.iter().map(|(service, records)| (service.as_str(), records))
-    }
-
     /// All backends.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<BackendRecord>> {
         self.services.values().flat_map(|records| records.iter())
