--- a/crates/proxy/tests/sockets/races.rs
+++ b/crates/proxy/tests/sockets/races.rs
@@ -237,7 +237,7 @@
 fn where_lists_are_pushed_nothing_is_served_before_the_agents_first_word() {
     let (discovery, drains, serves) = (Discovery::start(), Backend::start(), Backend::start());
     let mut configured = configuration(&discovery, &[drains.address, serves.address]);
-    let listen = nowhere();
+    let listen = free_address();
     configured["settings"]["Discovery"] = json!("automatic");
     configured["listen"] = json!(listen.to_string());
     std::thread::scope(|scope| {
@@ -382,7 +382,7 @@
 /// answers where discovery was.
 #[test]
 fn idle_clients_leave_room_for_discovery_backends_and_callers() {
-    let (place, backend, other) = (nowhere(), Backend::start(), Backend::start());
+    let (place, backend, other) = (free_address(), Backend::start(), Backend::start());
     let mut configured = configuration(&Discovery::start(), &[backend.address]);
     configured["discovery"] = json!(place.to_string());
     configured["admin_addr"] = json!("127.0.0.1:0");
@@ -503,7 +503,7 @@
 fn a_process_that_knows_no_backend_is_not_ready_before_discovery_tells_of_one() {
     let (discovery, backend) = (Discovery::start(), Backend::start());
     let mut configured = configuration(&discovery, &[]);
-    let listen = nowhere();
+    let listen = free_address();
     configured["listen"] = json!(listen.to_string());
     std::thread::scope(|scope| {
         let proxy = scope.spawn(|| Proxy::start(&configured));
--- a/crates/proxy/tests/sockets/stand_ins.rs
+++ b/crates/proxy/tests/sockets/stand_ins.rs
@@ -160,8 +160,19 @@
     }
 }
 
-/// An address that nobody listens at.
+/// An address that nobody listens at: bound to the end of the process, so that no other test gets its port.
 pub fn nowhere() -> SocketAddr {
+    use socket2::{Domain, Socket, Type};
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+    let any = SocketAddr::from(([127, 0, 0, 1], 0));
+    socket.bind(&any.into()).expect("a free port");
+    let address = socket.local_addr().expect("bound").as_socket().expect("an address");
+    std::mem::forget(socket);
+    address
+}
+
+/// An address that is free by now, for whoever is to listen there soon.
+pub fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a free port")
 }
 
