--- a/crates/carry/tests/serialized_format.rs
+++ b/crates/carry/tests/serialized_format.rs
@@ -4,8 +4,6 @@
 //! field breaks an upgrade and this test. `BLESS_FIXTURES=1` records the bytes anew after an intended change.
 
 use std::collections::{BTreeMap, BTreeSet};
-use std::fs;
-use std::path::PathBuf;
 
 use crankpick_carry::frames::{framed, read};
 use crankpick_fleet::sight::{Coarse, Objection, Seen, Sees, Sight, Summed, View};
@@ -14,6 +12,7 @@
     Ask, Desk, MemberStatus, Publication, Renewal, Renewed, Seat, Status, Told, Who, Word,
 };
 use crankpick_fleet::work::{Absent, Bounds, Is, Machine, Order, Plan, Say, Stage, Step, Terms, Work};
+use crankpick_test_support::Fixtures;
 
 fn who() -> Who {
     Who { name: "n1".into(), incarnation: 0x1234_5678_9abc }
@@ -292,26 +291,8 @@
     }
 }
 
-fn to_hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn from_hex(text: &str) -> Vec<u8> {
-    let pairs = text.as_bytes().chunks(2);
-    pairs.map(|pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap()).collect()
-}
-
-/// The recorded lines, name and bytes; `written` is recorded first when that is asked for.
-fn recorded(file: &str, written: &[(String, Vec<u8>)]) -> Vec<(String, Vec<u8>)> {
-    let path: PathBuf = [env!("CARGO_MANIFEST_DIR"), "tests", "fixtures", file].iter().collect();
-    if std::env::var_os("BLESS_FIXTURES").is_some() {
-        let lines: String =
-            written.iter().map(|(name, bytes)| format!("{name} {}\n", to_hex(bytes))).collect();
-        fs::write(&path, lines).unwrap();
-    }
-    let text = fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
-    let lines = text.lines().map(|line| line.split_once(' ').expect("a name and bytes"));
-    lines.map(|(name, digits)| (name.to_owned(), from_hex(digits))).collect()
+fn fixtures() -> Fixtures {
+    Fixtures::of(env!("CARGO_MANIFEST_DIR"))
 }
 
 #[tokio::test]
@@ -321,13 +302,10 @@
     assert_eq!(variants, (0..14).collect(), "each variant has a sample");
     let written: Vec<_> =
         words.iter().map(|(name, word)| (name.clone(), framed(word).expect("short enough"))).collect();
-    let recorded = recorded("words.hex", &written);
-    assert_eq!(recorded.len(), written.len());
-    for ((recorded, written), (_, word)) in recorded.iter().zip(&written).zip(&words) {
-        assert_eq!(recorded.0, written.0);
-        assert_eq!(to_hex(&recorded.1), to_hex(&written.1), "{}: written in another form", recorded.0);
-        let decoded = read(&mut &recorded.1[..], &mut Vec::new()).await.expect("a recorded frame is read");
-        assert_eq!(&decoded, word, "{}: read as another value", recorded.0);
+    let recorded = fixtures().assert_hex_lines("words.hex", &written);
+    for (recorded, (name, word)) in recorded.iter().zip(&words) {
+        let decoded = read(&mut &recorded[..], &mut Vec::new()).await.expect("a recorded frame is read");
+        assert_eq!(&decoded, word, "{name}: read as another value");
     }
 }
 
@@ -347,9 +325,8 @@
         ("roster".to_owned(), postcard::to_stdvec(&roster).unwrap()),
         ("fleet".to_owned(), postcard::to_stdvec(&fleet).unwrap()),
     ];
-    let recorded = recorded("stored.hex", &written);
-    assert_eq!(recorded, written);
-    assert_eq!(postcard::from_bytes::<Publication>(&recorded[0].1).unwrap(), publication());
-    assert_eq!(postcard::from_bytes::<BTreeMap<String, u64>>(&recorded[1].1).unwrap(), roster);
-    assert_eq!(postcard::from_bytes::<Fleet>(&recorded[2].1).unwrap(), fleet);
+    let recorded = fixtures().assert_hex_lines("stored.hex", &written);
+    assert_eq!(postcard::from_bytes::<Publication>(&recorded[0]).unwrap(), publication());
+    assert_eq!(postcard::from_bytes::<BTreeMap<String, u64>>(&recorded[1]).unwrap(), roster);
+    assert_eq!(postcard::from_bytes::<Fleet>(&recorded[2]).unwrap(), fleet);
 }
--- a/crates/control-plane/tests/unit/wire.rs
+++ b/crates/control-plane/tests/unit/wire.rs
@@ -1,8 +1,6 @@
 //! The bytes of messages between peers: those of earlier builds are read, and this build writes the same ones.
 
-use std::fs;
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 use crankpick_control::{Body, MemberId, Message, Sender};
@@ -12,36 +10,14 @@
     Announcement, Digest, GatewayId, GatewayRecord, Heartbeat, HeartbeatState, LoadedModel, ProcessId,
     Registry, RegistrySettings,
 };
+use crankpick_test_support::Fixtures;
 
 use super::PeerMessage;
 
-/// Set to write the fixtures anew from this build, in place of comparing them.
-const BLESS: &str = "CRANKPICK_BLESS_FIXTURES";
-
-fn fixture(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
-}
-
-fn to_hex(bytes: &[u8]) -> String {
-    let lines: Vec<String> =
-        bytes.chunks(32).map(|line| line.iter().map(|byte| format!("{byte:02x}")).collect()).collect();
-    lines.join("\n") + "\n"
-}
-
-fn from_hex(text: &str) -> Vec<u8> {
-    let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
-    let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap();
-    digits.chunks(2).map(byte).collect()
-}
-
 /// Compares the frame of a message with the fixture's, and what is read from the fixture with the message.
 async fn check_frame(name: &str, message: &PeerMessage) {
     let written = encode(message).unwrap();
-    if std::env::var_os(BLESS).is_some() {
-        fs::write(fixture(name), to_hex(&written)).unwrap();
-    }
-    let frame = from_hex(&fs::read_to_string(fixture(name)).unwrap());
-    assert_eq!(to_hex(&written), to_hex(&frame), "{name}");
+    let frame = Fixtures::of(env!("CARGO_MANIFEST_DIR")).assert_hex(name, &written);
     let read = FrameReader::new(&frame[..]).next::<PeerMessage>().await.unwrap().unwrap();
     assert_eq!(format!("{read:?}"), format!("{message:?}"), "{name}");
 }
--- a/crates/control/tests/serialized_form.rs
+++ b/crates/control/tests/serialized_form.rs
@@ -12,6 +12,7 @@
     Forward, ForwardAnswer, Heartbeat, Hello, Install, Member, MemberId, Message, Nack, Outcome, Prepare,
     Promise, Rank, Record, RecordBody, Sender, Snapshot, StateTransfer, View,
 };
+use crankpick_test_support::Fixtures;
 use serde::{de::DeserializeOwned, Serialize};
 
 /// One value of each variant, under the name that its line in the fixture file has.
@@ -238,40 +239,19 @@
     }
 }
 
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn unhex(text: &str) -> Vec<u8> {
-    assert!(text.len().is_multiple_of(2), "half a byte in {text}");
-    (0..text.len())
-        .step_by(2)
-        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("fixtures hold hex digits"))
-        .collect()
-}
-
 /// Each line decodes to the sample of that name, which encodes to the line again; no line and no sample is left over.
 fn check<T>(file: &str, samples: Samples<T>)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
 {
-    let path = format!("{}/tests/fixtures/{file}", env!("CARGO_MANIFEST_DIR"));
     let encode = |value: &T| rmp_serde::to_vec(value).expect("samples can be encoded");
-    if std::env::var_os("BLESS_FIXTURES").is_some() {
-        let lines: String =
-            samples.iter().map(|(name, value)| format!("{name} {}\n", hex(&encode(value)))).collect();
-        std::fs::write(&path, lines).expect("fixture file can be written");
-    }
-    let text = std::fs::read_to_string(&path).expect("fixture file is there");
-    let lines: Vec<(&str, &str)> =
-        text.lines().map(|line| line.split_once(' ').expect("a name and bytes")).collect();
-    let names: Vec<&str> = lines.iter().map(|(name, _)| *name).collect();
-    assert_eq!(names, samples.iter().map(|(name, _)| *name).collect::<Vec<_>>(), "lines of {file}");
-    for ((name, digits), (_, value)) in lines.iter().zip(&samples) {
-        let decoded: T = rmp_serde::from_slice(&unhex(digits))
+    let written: Vec<(String, Vec<u8>)> =
+        samples.iter().map(|(name, value)| ((*name).to_owned(), encode(value))).collect();
+    let recorded = Fixtures::of(env!("CARGO_MANIFEST_DIR")).assert_hex_lines(file, &written);
+    for (bytes, (name, value)) in recorded.iter().zip(&samples) {
+        let decoded: T = rmp_serde::from_slice(bytes)
             .unwrap_or_else(|error| panic!("{file}: {name} isn't read any more: {error}"));
         assert_eq!(&decoded, value, "{file}: {name} is read as another value");
-        assert_eq!(&hex(&encode(value)), digits, "{file}: {name} is written as other bytes");
     }
 }
 
--- a/crates/gateway/tests/serving/admission.rs
+++ b/crates/gateway/tests/serving/admission.rs
@@ -94,13 +94,18 @@
     assert!(demands.iter().any(|demand| demand.tenant == "bound" && demand.demand.need > 0.0));
 }
 
+/// A gateway whose keyed requests may wait for a lease for long.
+fn patient_gateway(backend: &Backend) -> Gateway {
+    let keyed = route("/keyed/", "mutating", "").replace(r#""public":true"#, r#""public":false"#);
+    let routing = configuration(1, &keyed.replace(r#""slo_ms":1000"#, r#""slo_ms":60000"#), TENANTS);
+    Gateway::start(routing, &[backend.address])
+}
+
 /// The wait for a lease is short, and not a refusal where it comes.
 #[test]
 fn a_request_is_admitted_by_a_grant_that_comes_at_once() {
     let backend = Backend::start();
-    let keyed = route("/keyed/", "mutating", "").replace(r#""public":true"#, r#""public":false"#);
-    let routing = configuration(1, &keyed.replace(r#""slo_ms":1000"#, r#""slo_ms":60000"#), TENANTS);
-    let gateway = Gateway::start(routing, &[backend.address]);
+    let gateway = patient_gateway(&backend);
     let mut client = gateway.ask("GET", "/keyed/", "Authorization: Bearer k3\r\n", "");
     let waits = || gateway.shared.quota_demands(GrantSource::OWNER).iter().any(|of| of.demand.need > 0.0);
     while !waits() {
@@ -117,9 +122,7 @@
 #[test]
 fn a_need_that_comes_right_after_a_report_is_reported_once_it_may_be() {
     let backend = Backend::start();
-    let keyed = route("/keyed/", "mutating", "").replace(r#""public":true"#, r#""public":false"#);
-    let routing = configuration(1, &keyed.replace(r#""slo_ms":1000"#, r#""slo_ms":60000"#), TENANTS);
-    let gateway = Gateway::start(routing, &[backend.address]);
+    let gateway = patient_gateway(&backend);
     // A lease at whose rate the share would come in minutes.
     assert!(gateway.shared.quota_renewed(gateway.shared.now(), "bound", grant(1, 0.0)));
     let clock = tokio::runtime::Builder::new_current_thread().enable_time().build().unwrap();
--- a/crates/gateway/tests/serving/retries.rs
+++ b/crates/gateway/tests/serving/retries.rs
@@ -64,7 +64,7 @@
 #[test]
 fn what_found_no_connection_goes_elsewhere() {
     let backend = Backend::start();
-    let gateway = gateway(&[nowhere(), backend.address]);
+    let gateway = gateway(&[refusing_address(), backend.address]);
     for _ in 0..8 {
         let mut client = gateway.ask("POST", "/m/", "", "x");
         backend.next().answer(200, SOUND, "done");
--- a/crates/gateway/tests/serving/send_endings.rs
+++ b/crates/gateway/tests/serving/send_endings.rs
@@ -377,7 +377,7 @@
     for class in CLASSES {
         let backends = Backends::start();
         let address = backends.listener.local_addr().expect("bound");
-        let gateway = Gateway::start(configuration(1, &class.route(), ""), &[nowhere(), address]);
+        let gateway = Gateway::start(configuration(1, &class.route(), ""), &[refusing_address(), address]);
         for _ in 0..4 {
             let mut client = gateway.connect();
             class.ask(&mut client, "", "x");
--- a/crates/gateway/tests/serving/stand_ins.rs
+++ b/crates/gateway/tests/serving/stand_ins.rs
@@ -10,6 +10,7 @@
 use crankpick_configuration::{read, RoutingTable};
 use crankpick_gateway::{Cause, GatewaySettings, Shared};
 use crankpick_registry::{BackendRecord, BackendTable};
+pub use crankpick_test_support::refusing_address;
 
 /// Far longer than anything here takes: reached only where a test fails.
 pub const PATIENCE: Duration = Duration::from_secs(20);
@@ -161,17 +162,6 @@
     }
 }
 
-/// An address that nobody listens at: bound to the end of the process, so that no other test gets its port.
-pub fn nowhere() -> SocketAddr {
-    use socket2::{Domain, Socket, Type};
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    socket.bind(&any.into()).expect("a free port");
-    let address = socket.local_addr().expect("bound").as_socket().expect("an address");
-    std::mem::forget(socket);
-    address
-}
-
 /// A configuration of one host with these routes and the service `s`.
 pub fn configuration(generation: u64, routes: &str, more: &str) -> Arc<RoutingTable> {
     let text = format!(
--- a/crates/protocol/tests/fixtures.rs
+++ b/crates/protocol/tests/fixtures.rs
@@ -1,9 +1,7 @@
 //! The bytes on the wire: frames of earlier builds are read as the same messages, and this build writes the same frames.
 
 use std::fmt::Debug;
-use std::fs;
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 use crankpick_protocol::{
@@ -15,42 +13,19 @@
     Changes, Cursor, GatewayTotal, Heartbeat, HeartbeatState, LoadedModel, ProcessId, Registry,
     RegistrySettings,
 };
+use crankpick_test_support::Fixtures;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// Set to write the fixtures anew from this build, in place of comparing them.
-const BLESS: &str = "CRANKPICK_BLESS_FIXTURES";
-
-fn fixture(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
-}
-
-fn to_hex(bytes: &[u8]) -> String {
-    let lines: Vec<String> =
-        bytes.chunks(32).map(|line| line.iter().map(|byte| format!("{byte:02x}")).collect()).collect();
-    lines.join("\n") + "\n"
-}
-
-fn from_hex(text: &str) -> Vec<u8> {
-    let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
-    let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap();
-    digits.chunks(2).map(byte).collect()
-}
-
-/// The bytes of a fixture; writes these ones first where fixtures are blessed.
-fn fixture_bytes(name: &str, current: &[u8]) -> Vec<u8> {
-    if std::env::var_os(BLESS).is_some() {
-        fs::write(fixture(name), to_hex(current)).unwrap();
-    }
-    from_hex(&fs::read_to_string(fixture(name)).unwrap())
+fn fixtures() -> Fixtures {
+    Fixtures::of(env!("CARGO_MANIFEST_DIR"))
 }
 
 async fn check_frame<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, message: &T) {
     let written = encode(message).unwrap();
-    let frame = fixture_bytes(name, &written);
+    let frame = fixtures().assert_hex(name, &written);
     let read = FrameReader::new(&frame[..]).next::<T>().await.unwrap().unwrap();
     assert_eq!(&read, message, "{name}");
-    assert_eq!(to_hex(&written), to_hex(&frame), "{name}");
 }
 
 fn address(last: u8) -> SocketAddr {
@@ -191,6 +166,6 @@
 #[test]
 fn a_compressed_document_of_an_earlier_build_is_read() {
     let document = br#"{"generation":42,"routes":[],"services":[],"again":{"routes":[],"services":[]}}"#;
-    let compressed = fixture_bytes("document-compressed.hex", &compress(document));
+    let compressed = fixtures().hex("document-compressed.hex", &compress(document));
     assert_eq!(*decompress(&compressed).unwrap(), document[..]);
 }
--- a/crates/proxy/tests/sockets/daily.rs
+++ b/crates/proxy/tests/sockets/daily.rs
@@ -17,7 +17,7 @@
 #[test]
 fn a_call_is_one_line_and_callers_that_end_none_hold_up_nobody() {
     let discovery = Discovery::start();
-    let proxy = Proxy::start(&operated(&discovery, &[nowhere()]));
+    let proxy = Proxy::start(&operated(&discovery, &[refusing_address()]));
     let asked = Instant::now();
     let mut unended: Vec<Client> = (0..40).map(|_| proxy.caller()).collect();
     unended[39].say(b"PING");
@@ -200,7 +200,7 @@
 #[test]
 fn a_damaged_file_of_those_out_by_hand_is_told_and_stops_nobody() {
     let (discovery, platform) = (Discovery::start(), Platform::new("damaged"));
-    let told = operated(&discovery, &[nowhere()]);
+    let told = operated(&discovery, &[refusing_address()]);
     std::fs::write(platform.folder.join("crankpick-127.0.0.1:0.out.json"), "[\"s-0\"").expect("writable");
     let mut program = program("");
     program.env("TMPDIR", &platform.folder);
--- a/crates/proxy/tests/sockets/main.rs
+++ b/crates/proxy/tests/sockets/main.rs
@@ -169,7 +169,7 @@
 #[test]
 fn those_that_asked_once_and_stay_end_past_a_quarter_of_the_descriptors() {
     let discovery = Discovery::start();
-    let proxy = Proxy::start(&configuration(&discovery, &[nowhere()]));
+    let proxy = Proxy::start(&configuration(&discovery, &[refusing_address()]));
     let opened = Instant::now();
     let mut crowd: Vec<Client> = Vec::new();
     for _ in 0..100 {
@@ -344,7 +344,7 @@
     let discovery = Discovery::start();
     let full = Backend::answering(|asked| asked.answer(503, "X-Not-Run: 1\r\n", ""));
     let sound = Backend::answering(|asked| asked.answer(200, "", "ok"));
-    for bad in [full, nowhere()] {
+    for bad in [full, refusing_address()] {
         let proxy = Proxy::start(&configuration(&discovery, &[bad, bad, sound]));
         let mut client = proxy.client();
         for number in 0..6 {
@@ -357,7 +357,7 @@
 #[test]
 fn a_query_that_no_backend_can_take_is_rejected_with_advice() {
     let discovery = Discovery::start();
-    let proxy = Proxy::start(&configuration(&discovery, &[nowhere()]));
+    let proxy = Proxy::start(&configuration(&discovery, &[refusing_address()]));
     let mut client = proxy.client();
     client.ask("pay", "q", 2_000);
     let heard = client.heard();
@@ -673,7 +673,7 @@
         ("/listen", json!("here"), "listen"),
         ("/seed", json!("zz"), "seed"),
         ("/discovery", json!(7), "discovery"),
-        ("/known/instances", json!([instance("s", nowhere(), "ASLEEP")]), "ASLEEP"),
+        ("/known/instances", json!([instance("s", refusing_address(), "ASLEEP")]), "ASLEEP"),
         ("/settings/Workloads/0/Repeat", json!("often"), "often"),
         ("/settings/Limits/MaxExecutions", json!("many"), "MaxExecutions"),
     ] {
--- a/crates/proxy/tests/sockets/races.rs
+++ b/crates/proxy/tests/sockets/races.rs
@@ -184,7 +184,7 @@
 #[test]
 fn two_silences_in_a_row_leave_time_to_be_told() {
     let discovery = Discovery::start();
-    let _proxy = Proxy::start(&configuration(&discovery, &[nowhere()]));
+    let _proxy = Proxy::start(&configuration(&discovery, &[refusing_address()]));
     let mut first = discovery.next();
     let silent = Instant::now();
     first.say("");
@@ -197,7 +197,7 @@
 fn bytes_that_trickle_are_no_sign_of_life() {
     for part in [" ", "{\"generation\":50,"] {
         let discovery = Discovery::start();
-        let _proxy = Proxy::start(&configuration(&discovery, &[nowhere()]));
+        let _proxy = Proxy::start(&configuration(&discovery, &[refusing_address()]));
         let (watch, begun) = (discovery.next(), Instant::now());
         std::thread::scope(|scope| {
             scope.spawn(|| watch.trickle(part, Duration::from_millis(100)));
@@ -517,7 +517,7 @@
         assert_eq!(client.heard().status(), 200);
     });
     // Discovery that is away does not keep it from starting for good.
-    configured["discovery"] = json!(nowhere().to_string());
+    configured["discovery"] = json!(refusing_address().to_string());
     let started = Instant::now();
     let proxy = Proxy::start(&configured);
     assert!(started.elapsed() < Duration::from_secs(10), "{:?}", started.elapsed());
--- a/crates/proxy/tests/sockets/random.rs
+++ b/crates/proxy/tests/sockets/random.rs
@@ -70,7 +70,7 @@
 fn run(seed: u64) -> Result<(), String> {
     let (discovery, record) = (Discovery::start(), Record::default());
     let addresses: Vec<_> = (0..3).map(|n| backend(seed.wrapping_add(n), Arc::clone(&record))).collect();
-    let mut told = configuration(&discovery, &[&addresses[..], &[nowhere()]].concat());
+    let mut told = configuration(&discovery, &[&addresses[..], &[refusing_address()]].concat());
     told["seed"] = json!(format!("{seed:x}"));
     let proxy = Proxy::start(&told);
     std::thread::scope(|scope| {
@@ -88,11 +88,3 @@
 fn rules_hold_over_sockets() {
     QuickCheck::new().rng(Gen::from_size_and_seed(100, 7)).tests(4).quickcheck(run as fn(u64) -> _);
 }
-
-/// Else a backend of another test may get the port, and answer there in the name of its own queries.
-#[test]
-fn an_address_that_nobody_listens_at_is_given_to_nobody_else() {
-    let address = nowhere();
-    assert!(std::net::TcpListener::bind(address).is_err(), "another test could listen at {address}");
-    assert!(std::net::TcpStream::connect(address).is_err(), "somebody listens at {address}");
-}
--- a/crates/proxy/tests/sockets/stand_ins.rs
+++ b/crates/proxy/tests/sockets/stand_ins.rs
@@ -9,6 +9,7 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::time::{Duration, Instant};
 
+pub use crankpick_test_support::refusing_address;
 use serde_json::{json, Value};
 
 /// Far longer than anything here takes: reached only where a test fails.
@@ -160,17 +161,6 @@
     }
 }
 
-/// An address that nobody listens at: bound to the end of the process, so that no other test gets its port.
-pub fn nowhere() -> SocketAddr {
-    use socket2::{Domain, Socket, Type};
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    socket.bind(&any.into()).expect("a free port");
-    let address = socket.local_addr().expect("bound").as_socket().expect("an address");
-    std::mem::forget(socket);
-    address
-}
-
 /// An address that is free by now, for whoever is to listen there soon.
 pub fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a free port")
@@ -352,7 +342,8 @@
         std::thread::spawn(move || {
             reader.lines().map_while(Result::ok).try_for_each(|line| lines.send(line))
         });
-        let mut proxy = Proxy { address: nowhere(), admin: nowhere(), child, log, configured };
+        let mut proxy =
+            Proxy { address: refusing_address(), admin: refusing_address(), child, log, configured };
         let line = proxy.logged("code=\"listening\"");
         proxy.address = told(&line, "listen");
         if configuration.get("admin_addr").is_some() {
@@ -369,7 +360,7 @@
         if !closed {
             std::mem::forget(reader);
         }
-        Proxy { address: told(&line, "listen"), admin: nowhere(), child, log, configured }
+        Proxy { address: told(&line, "listen"), admin: refusing_address(), child, log, configured }
     }
 
     /// The next line of the log that holds `text`.
--- a/crates/quota/tests/serialized_format.rs
+++ b/crates/quota/tests/serialized_format.rs
@@ -5,41 +5,23 @@
 //! again. `BLESS_FIXTURES=1` records the bytes anew after an intended change.
 
 use std::fmt::Debug;
-use std::fs;
-use std::path::PathBuf;
 use std::time::Duration;
 
 use crankpick_quota::{Demand, Grant, GrantSource, HeldLease, HolderId, OwnerIncarnation};
+use crankpick_test_support::Fixtures;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// The recorded text of a fixture; `written` is recorded first when that is asked for.
-fn recorded(name: &str, written: &str) -> String {
-    let path: PathBuf = [env!("CARGO_MANIFEST_DIR"), "tests", "fixtures", name].iter().collect();
-    if std::env::var_os("BLESS_FIXTURES").is_some() {
-        fs::write(&path, format!("{written}\n")).unwrap();
-    }
-    let text = fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
-    text.trim_end().to_owned()
-}
-
-fn to_hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn from_hex(text: &str) -> Vec<u8> {
-    let pairs = text.as_bytes().chunks(2);
-    pairs.map(|pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap()).collect()
+fn fixtures() -> Fixtures {
+    Fixtures::of(env!("CARGO_MANIFEST_DIR"))
 }
 
 /// Expects that `value` is written as the recorded bytes and is read back from them.
 fn assert_message<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
     let mut bytes = Vec::new();
     rmp_serde::encode::write(&mut bytes, value).unwrap();
-    let written = to_hex(&bytes);
-    let expected = recorded(&format!("{name}.hex"), &written);
-    assert_eq!(written, expected, "{name}: written in another form");
-    let decoded: T = rmp_serde::from_slice(&from_hex(&expected)).unwrap();
+    let recorded = fixtures().assert_hex(&format!("{name}.hex"), &bytes);
+    let decoded: T = rmp_serde::from_slice(&recorded).unwrap();
     assert_eq!(&decoded, value, "{name}: read as another value");
 }
 
--- a/crates/storage/tests/fixtures.rs
+++ b/crates/storage/tests/fixtures.rs
@@ -1,20 +1,18 @@
 //! The bytes of stored files: a file written by an earlier build is read, and this build writes the same bytes.
 
 use std::fs;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 
 use crankpick_storage::Log;
-
-/// Set to write the fixtures anew from this build, in place of comparing them.
-const BLESS: &str = "CRANKPICK_BLESS_FIXTURES";
+use crankpick_test_support::Fixtures;
 
 const FIRST_WRITE: &[&[u8]] = &[b"alone"];
 const SECOND_WRITE: &[&[u8]] = &[b"first of three", b"", &[0x00, 0xff, 0x80]];
 const REWRITTEN: &[&[u8]] = &[b"a snapshot", b"in two records"];
 const AFTER_REWRITE: &[&[u8]] = &[b"appended later"];
 
-fn fixture(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+fn fixtures() -> Fixtures {
+    Fixtures::of(env!("CARGO_MANIFEST_DIR"))
 }
 
 /// A directory of its own for one test, empty.
@@ -25,17 +23,10 @@
     path
 }
 
-fn check_written(name: &str, written: &[u8]) {
-    if std::env::var_os(BLESS).is_some() {
-        fs::write(fixture(name), written).expect("blessed");
-    }
-    assert_eq!(written, fs::read(fixture(name)).expect("fixture"), "{name}");
-}
-
 fn check_read(name: &str, file_name: &str, expected: &[&[u8]]) {
     let directory = empty_directory(&format!("read-{name}"));
     let file = directory.join(file_name);
-    fs::copy(fixture(name), &file).expect("copied");
+    fs::copy(fixtures().path(name), &file).expect("copied");
     let (log, records, report) = Log::open(&directory).expect("opened");
     assert_eq!(records, expected, "{name}");
     assert!(report.dropped.is_none(), "{name}");
@@ -50,7 +41,7 @@
     let (mut log, _, _) = Log::open(&directory).expect("opened");
     log.append(FIRST_WRITE).expect("appended");
     log.append(SECOND_WRITE).expect("appended");
-    check_written("appended.bin", &fs::read(directory.join("records-1")).expect("read"));
+    fixtures().assert_bytes("appended.bin", &fs::read(directory.join("records-1")).expect("read"));
     check_read("appended.bin", "records-1", &[FIRST_WRITE, SECOND_WRITE].concat());
     fs::remove_dir_all(&directory).expect("removed");
 }
@@ -62,7 +53,7 @@
     log.append(FIRST_WRITE).expect("appended");
     log.rewrite(REWRITTEN).expect("rewritten");
     log.append(AFTER_REWRITE).expect("appended");
-    check_written("rewritten.bin", &fs::read(directory.join("records-2")).expect("read"));
+    fixtures().assert_bytes("rewritten.bin", &fs::read(directory.join("records-2")).expect("read"));
     check_read("rewritten.bin", "records-2", &[REWRITTEN, AFTER_REWRITE].concat());
     fs::remove_dir_all(&directory).expect("removed");
 }
