--- a/crates/control/src/output.rs
+++ b/crates/control/src/output.rs
@@ -46,19 +46,13 @@
 pub type Outputs = Vec<Output>;
 
 /// Collects the outputs of one input, and the messages that the replica addresses to itself.
-#[derive(Clone, Debug)]
+#[derive(Clone, Debug, Default)]
 pub(crate) struct Outbox {
-    address: SocketAddr,
     outputs: Outputs,
     local_messages: VecDeque<Body>,
 }
 
 impl Outbox {
-    /// An empty outbox of the process at that internal address.
-    pub(crate) fn new(address: SocketAddr) -> Self {
-        Outbox { address, outputs: Vec::new(), local_messages: VecDeque::new() }
-    }
-
     /// Adds an action for the host.
     pub(crate) fn push(&mut self, output: Output) {
         self.outputs.push(output);
@@ -81,7 +75,7 @@
         target: Option<MemberId>,
         body: Body,
     ) {
-        if to == self.address {
+        if to == from.address {
             self.local_messages.push_back(body);
             return;
         }
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -75,6 +75,11 @@
         now > last_seen + timing.suspicion_timeout || now > echoed_at + echo_timeout(timing)
     }
 
+    /// Whether heartbeats arrive in both directions, and the last one reports nothing against it.
+    pub(crate) fn is_healthy(&self, now: Now, timing: &Timing) -> bool {
+        self.connected(now, timing) && self.reports_healthy()
+    }
+
     /// Whether its last heartbeat reports nothing against it; true before the first one.
     pub(crate) fn reports_healthy(&self) -> bool {
         self.heartbeat.is_none_or(|last| last.disk_healthy && !last.shutting_down)
--- a/crates/control/src/proposer.rs
+++ b/crates/control/src/proposer.rs
@@ -93,7 +93,8 @@
 
     /// Whether a voter has promised.
     pub(crate) fn has_promise_of(&self, sender: Sender) -> bool {
-        self.promises.iter().any(|known| self.is_same_voter(known.sender, sender))
+        let by_address = self.is_bootstrap();
+        self.promises.iter().any(|known| is_same_voter(by_address, known.sender, sender))
     }
 
     /// Whether the member with that id has promised.
@@ -174,10 +175,6 @@
         let chain = members.iter().map(|member| member.id).collect();
         Plan { members, chain }
     }
-
-    fn is_same_voter(&self, one: Sender, other: Sender) -> bool {
-        is_same_voter(self.is_bootstrap(), one, other)
-    }
 }
 
 /// Voters of the first view are identified by their addresses, later ones by their ids.
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -108,7 +108,7 @@
             pending_commands: PendingCommands::new(first_key),
             discovery: Discovery::new(now),
             catch_up: CatchUpRequest::default(),
-            outbox: Outbox::new(options.address),
+            outbox: Outbox::default(),
             options,
             now,
             random,
@@ -198,6 +198,11 @@
         }
     }
 
+    /// Whether this process reports nothing against itself: its disk works, and it isn't shutting down.
+    fn is_healthy(&self) -> bool {
+        !self.is_disk_unhealthy() && !self.shutting_down
+    }
+
     fn is_disk_unhealthy(&self) -> bool {
         self.disk.is_unhealthy(self.now, self.options.timing.disk_sync_timeout)
     }
--- a/crates/control/src/replica/planning.rs
+++ b/crates/control/src/replica/planning.rs
@@ -24,12 +24,11 @@
         let now = self.now;
         let timing = self.options.timing;
         for peer in self.peers.voters_mut() {
-            let is_healthy = peer.connected(now, &timing) && peer.reports_healthy();
+            let is_healthy = peer.is_healthy(now, &timing);
             peer.note_health(now, is_healthy);
         }
-        let is_healthy = !self.is_disk_unhealthy() && !self.shutting_down;
         let since = self.proposer.healthy_since.unwrap_or(now);
-        self.proposer.healthy_since = is_healthy.then_some(since);
+        self.proposer.healthy_since = self.is_healthy().then_some(since);
     }
 
     /// Plans the next view. `None` if no chain that is long enough can be made.
@@ -85,7 +84,7 @@
     /// Whether nothing is known against a replica of the chain.
     fn may_stay_in_chain(&self, id: MemberId) -> bool {
         if id == self.id {
-            return !self.is_disk_unhealthy() && !self.shutting_down;
+            return self.is_healthy();
         }
         let Some(peer) = self.peers.get(id) else { return false };
         let suspected = peer.suspected(self.now, &self.options.timing);
@@ -107,19 +106,17 @@
     }
 
     fn may_enter_chain(&self, id: MemberId, admission: Admission) -> bool {
-        let readmission_delay = self.options.timing.readmission_delay;
-        if id == self.id {
-            let is_ready = |since| self.now >= since + readmission_delay;
-            let since = self.proposer.healthy_since;
-            return since.is_some_and(|since| admission == Admission::Healthy || is_ready(since));
+        let is_own = id == self.id;
+        let peer = self.peers.get(id).filter(|_| !is_own);
+        let healthy_since =
+            if is_own { self.proposer.healthy_since } else { peer.and_then(|peer| peer.healthy_since) };
+        let Some(since) = healthy_since else { return false };
+        if admission == Admission::Healthy {
+            return true;
         }
-        let Some(peer) = self.peers.get(id) else { return false };
-        let is_ready = |since| {
-            let healthy_for = self.now.saturating_sub(since);
-            healthy_for >= readmission_delay && self.has_caught_up(peer, healthy_for)
-        };
-        let since = peer.healthy_since;
-        since.is_some_and(|since| admission == Admission::Healthy || is_ready(since))
+        let healthy_for = self.now.saturating_sub(since);
+        let has_caught_up = peer.is_none_or(|peer| self.has_caught_up(peer, healthy_for));
+        healthy_for >= self.options.timing.readmission_delay && has_caught_up
     }
 
     /// The losses that the core is to tolerate.
@@ -167,7 +164,7 @@
     /// Whether a standby that asks for a vote may get one: it is connected, healthy, and has caught up with the chain.
     fn may_become_voter(&self, joiner: &Member) -> bool {
         let Some(peer) = self.peers.get(joiner.id) else { return false };
-        let is_healthy = peer.connected(self.now, &self.options.timing) && peer.reports_healthy();
+        let is_healthy = peer.is_healthy(self.now, &self.options.timing);
         let is_postponed = self.discovery.is_postponed(self.now, joiner.id);
         let is_outside = self.view.member(joiner.id).is_none();
         let requested_at = self.discovery.join_requested_at(joiner.id);
--- a/crates/control/src/replica/resilience.rs
+++ b/crates/control/src/replica/resilience.rs
@@ -19,10 +19,9 @@
     fn healthy_voters(&self) -> usize {
         let timing = &self.options.timing;
         let voters = self.peers.voters().iter();
-        let healthy = voters.filter(|peer| peer.connected(self.now, timing) && peer.reports_healthy());
-        let is_own_healthy =
-            self.view.member(self.id).is_some() && !self.is_disk_unhealthy() && !self.shutting_down;
-        healthy.count() + usize::from(is_own_healthy)
+        let healthy = voters.filter(|peer| peer.is_healthy(self.now, timing));
+        let is_healthy_voter = self.view.member(self.id).is_some() && self.is_healthy();
+        healthy.count() + usize::from(is_healthy_voter)
     }
 
     /// The number of voters that the losses to be tolerated ask for.
