--- a/crates/quota/src/allocator.rs
+++ b/crates/quota/src/allocator.rs
@@ -19,7 +19,7 @@
 use crate::bounds::Total;
 use crate::bucket::Bucket;
 use crate::message::{Demand, Grant, GrantSource, HeldLease, HolderId, OwnerIncarnation};
-use crate::reservation::Share;
+use crate::share::Share;
 use crate::unmet_need::UnmetNeed;
 use crate::Now;
 
--- a/crates/quota/src/allocator/demands.rs
+++ b/crates/quota/src/allocator/demands.rs
@@ -5,7 +5,8 @@
 use super::shares::HEADROOM;
 use super::Allocator;
 use crate::message::{Demand, GrantSource, HolderId};
-use crate::reservation::{Reservation, Share};
+use crate::reservation::Reservation;
+use crate::share::Share;
 use crate::{Now, LEASE_DURATION};
 
 /// How long a need that was not met counts after its report.
--- a/crates/quota/src/allocator/pool.rs
+++ b/crates/quota/src/allocator/pool.rs
@@ -3,7 +3,7 @@
 use super::demands::sanitized;
 use super::Allocator;
 use crate::message::{GrantSource, HolderId};
-use crate::reservation::Share;
+use crate::share::Share;
 use crate::{Now, LEASE_DURATION};
 
 /// While the pool is fuller than this fraction of its depth, it tops up the holders' buckets.
--- a/crates/quota/src/allocator/shares.rs
+++ b/crates/quota/src/allocator/shares.rs
@@ -4,7 +4,7 @@
 
 use super::Allocator;
 use crate::message::{Grant, HeldLease, HolderId};
-use crate::reservation::Share;
+use crate::share::Share;
 use crate::{Now, LEASE_DURATION};
 
 /// A holder is leased its demand times this.
--- a/crates/quota/src/allocator/takeover.rs
+++ b/crates/quota/src/allocator/takeover.rs
@@ -3,7 +3,7 @@
 use super::shares::LEASED_BURST_FRACTION;
 use super::{Allocator, MAX_HOLDERS};
 use crate::message::{Demand, GrantSource, HolderId};
-use crate::reservation::Share;
+use crate::share::Share;
 use crate::{Now, LEASE_DURATION};
 
 /// The host gives the owner of each epoch a fencing token that is higher by this much. The tokens in between
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -7,6 +7,7 @@
 //! Rates are in units per second and amounts in units: tokens or requests, whichever a limit counts.
 
 mod allocator;
+mod bin_ring;
 mod bounds;
 mod bucket;
 mod demand_estimate;
@@ -14,6 +15,7 @@
 mod message;
 mod reservation;
 mod retry_budget;
+mod share;
 mod unmet_need;
 
 pub use allocator::{Allocator, TOKENS_PER_EPOCH};
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::reservation::Share;
+use crate::share::Share;
 
 /// One incarnation of a lease holder: drawn at random at each start of its process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/quota/src/reservation.rs
+++ b/crates/quota/src/reservation.rs
@@ -1,51 +1,12 @@
 //! What one holder may still hold, by the grants sent to it.
 
-use std::ops::{Add, Sub};
-
 use crate::message::{Grant, HeldLease};
+use crate::share::Share;
 use crate::Now;
 
 /// The maximum number of grants of one holder that are stored separately.
 const MAX_OUTSTANDING: usize = 8;
 
-/// A share of a total.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Share {
-    /// Units per second.
-    pub rate: f64,
-    /// The depth of a bucket, in units.
-    pub burst: f64,
-    /// How far a bucket may go below zero, in units.
-    pub debt: f64,
-}
-
-impl Share {
-    /// The greater of both in each field.
-    fn max(self, other: Self) -> Self {
-        Self {
-            rate: self.rate.max(other.rate),
-            burst: self.burst.max(other.burst),
-            debt: self.debt.max(other.debt),
-        }
-    }
-}
-
-impl Add for Share {
-    type Output = Self;
-
-    fn add(self, other: Self) -> Self {
-        Self { rate: self.rate + other.rate, burst: self.burst + other.burst, debt: self.debt + other.debt }
-    }
-}
-
-impl Sub for Share {
-    type Output = Self;
-
-    fn sub(self, other: Self) -> Self {
-        Self { rate: self.rate - other.rate, burst: self.burst - other.burst, debt: self.debt - other.debt }
-    }
-}
-
 #[derive(Clone, Copy, Debug)]
 struct OutstandingGrant {
     number: u64,
--- a/crates/quota/src/retry_budget.rs
+++ b/crates/quota/src/retry_budget.rs
@@ -6,6 +6,7 @@
 
 use std::time::Duration;
 
+use crate::bin_ring::BinRing;
 use crate::Now;
 
 /// The number of bins that the window is divided into.
@@ -29,22 +30,26 @@
     pub window: Duration,
 }
 
+/// What is counted in one bin.
+#[derive(Clone, Copy, Debug, Default)]
+struct Counts {
+    requests: u32,
+    retries: u32,
+}
+
 /// The retry budget of one service at one gateway.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     settings: RetryBudgetSettings,
     gateways: u32,
-    requests: [u32; BINS],
-    retries: [u32; BINS],
-    /// The number of the newest bin since the start of the clock.
-    newest_bin: u64,
+    counts: BinRing<Counts, BINS>,
 }
 
 impl RetryBudget {
     /// Creates the budget of one of `gateways` gateways.
     pub fn new(settings: RetryBudgetSettings, gateways: u32) -> Self {
         let gateways = gateways.max(1);
-        Self { settings, gateways, requests: [0; BINS], retries: [0; BINS], newest_bin: 0 }
+        Self { settings, gateways, counts: BinRing::default() }
     }
 
     /// Sets the number of gateways that share the slack.
@@ -55,8 +60,8 @@
     /// Records a request for the service.
     pub fn deposit(&mut self, now: Now) {
         self.advance(now);
-        let bin = &mut self.requests[self.newest_bin as usize % BINS];
-        *bin = bin.saturating_add(1);
+        let counts = self.counts.newest_mut();
+        counts.requests = counts.requests.saturating_add(1);
     }
 
     /// Takes one retry out of the budget; returns whether there was one.
@@ -64,35 +69,25 @@
         if self.left(now) < 1.0 {
             return false;
         }
-        let bin = &mut self.retries[self.newest_bin as usize % BINS];
-        *bin = bin.saturating_add(1);
+        let counts = self.counts.newest_mut();
+        counts.retries = counts.retries.saturating_add(1);
         true
     }
 
     /// The number of retries left at `now`; may be fractional or negative.
     pub fn left(&mut self, now: Now) -> f64 {
         self.advance(now);
-        let requests: u32 = self.requests.iter().sum();
-        let retries: u32 = self.retries.iter().sum();
+        let requests: u32 = self.counts.newest(BINS).map(|counts| counts.requests).sum();
+        let retries: u32 = self.counts.newest(BINS).map(|counts| counts.retries).sum();
         let share = self.settings.slack * SLACK_FRACTION / f64::from(self.gateways);
         let first_window = now < self.settings.window;
         let share = if first_window { share * FIRST_WINDOW_FRACTION } else { share };
         f64::from(requests) * self.settings.ratio * RATIO_FRACTION + share - f64::from(retries)
     }
 
-    /// Moves on to the bin of `now`, and clears the bins that it passes.
+    /// Moves on to the bin of `now`.
     fn advance(&mut self, now: Now) {
         let width = (self.settings.window.as_nanos() / (BINS as u128 - 1)).max(1);
-        let bin = u64::try_from(now.as_nanos() / width).unwrap_or(u64::MAX);
-        if bin >= self.newest_bin + BINS as u64 {
-            self.requests = [0; BINS];
-            self.retries = [0; BINS];
-            self.newest_bin = bin;
-        }
-        while self.newest_bin < bin {
-            self.newest_bin += 1;
-            self.requests[self.newest_bin as usize % BINS] = 0;
-            self.retries[self.newest_bin as usize % BINS] = 0;
-        }
+        self.counts.advance_to(u64::try_from(now.as_nanos() / width).unwrap_or(u64::MAX));
     }
 }
--- a/crates/registry/src/gateway_leases.rs
+++ b/crates/registry/src/gateway_leases.rs
@@ -6,6 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::announcement::Announcement;
+use crate::freeze::FreezeDetector;
 use crate::gateway_count::GatewayTotal;
 use crate::peers::Peers;
 use crate::{Now, ProcessId};
@@ -80,7 +81,7 @@
     local_process: ProcessId,
     leases: BTreeMap<GatewayId, Lease>,
     peers: Peers,
-    last_call_at: Now,
+    freezes: FreezeDetector,
     /// Until then there may be gateways that this process does not know.
     grace_until: Now,
     isolated: bool,
@@ -95,7 +96,7 @@
             local_process,
             leases: BTreeMap::new(),
             peers: Peers::new(HOME_DEATH_TIMEOUT),
-            last_call_at: now,
+            freezes: FreezeDetector::new(now, FREEZE_THRESHOLD),
             grace_until: now + LEASE_DURATION,
             isolated: false,
             total: 0,
@@ -278,11 +279,7 @@
     /// Records the time of a call. A long pause since the last one may mean that this process was frozen and
     /// missed reports: nothing expires by that pause, and the grace period starts again.
     fn record_call(&mut self, now: Now) {
-        let pause = now.saturating_sub(self.last_call_at);
-        self.last_call_at = self.last_call_at.max(now);
-        if pause <= FREEZE_THRESHOLD {
-            return;
-        }
+        let Some(pause) = self.freezes.record_call(now) else { return };
         self.restart_grace_period(now);
         self.peers.extend_timeouts(pause);
         for report in self.leases.values_mut().filter_map(|lease| lease.last_report.as_mut()) {
--- a/crates/registry/src/home_selector.rs
+++ b/crates/registry/src/home_selector.rs
@@ -140,9 +140,9 @@
         self.followed.map(|followed| followed.address)
     }
 
-    /// An upper bound on the age of the followed home's configuration; `None` when it is not known.
-    pub fn configuration_age(&self, now: Now) -> Option<Duration> {
-        self.followed?.freshness.known_age(now)
+    /// Whether a home is followed whose configuration was the newest one a moment ago.
+    pub fn is_fresh(&self, now: Now) -> bool {
+        self.followed.is_some_and(|followed| followed.freshness.is_fresh(now))
     }
 
     /// Records that the dialled process at `address` has answered a report.
@@ -150,7 +150,9 @@
         let freshness = ConfigurationFreshness::new(now, status.configuration_age);
         if self.followed_home() == Some(address) {
             self.followed = Some(FollowedHome { address, freshness });
-            self.reset_backoff_if_fresh(now, address, freshness);
+            if freshness.is_fresh(now) {
+                self.reset_backoff(address);
+            }
         } else if self.is_attempting(address) {
             self.attempt = None;
             self.evaluate(now, address, freshness);
@@ -225,7 +227,7 @@
             self.actions.push(HomeAction::Close(address));
         }
         if freshness.is_fresh(now) {
-            self.reset_backoff_if_fresh(now, address, freshness);
+            self.reset_backoff(address);
         } else {
             self.back_off(now, address);
         }
@@ -244,11 +246,10 @@
         age <= MAX_FRESH_AGE || age.saturating_add(MIN_FRESHNESS_GAIN) < followed.freshness.age(now)
     }
 
-    fn reset_backoff_if_fresh(&mut self, now: Now, address: SocketAddr, freshness: ConfigurationFreshness) {
-        if freshness.is_fresh(now) {
-            self.failed_attempts = 0;
-            self.candidates.record_success(address);
-        }
+    /// The next attempts need not wait, and this candidate is good.
+    fn reset_backoff(&mut self, address: SocketAddr) {
+        self.failed_attempts = 0;
+        self.candidates.record_success(address);
     }
 
     /// Delays the next attempt after one that failed or found a stale home, and this candidate's still more.
@@ -297,10 +298,6 @@
         self.attempt.is_some_and(|attempt| attempt.address == address)
     }
 
-    fn is_fresh(&self, now: Now) -> bool {
-        self.followed.is_some_and(|followed| followed.freshness.is_fresh(now))
-    }
-
     /// How long the current attempt may take.
     fn attempt_timeout(&self, now: Now) -> Duration {
         if self.is_fresh(now) {
--- a/crates/registry/src/home_selector/freshness.rs
+++ b/crates/registry/src/home_selector/freshness.rs
@@ -26,14 +26,9 @@
         self.answered_at
     }
 
-    /// The greatest age that the configuration may have at `now`; `None` if the home could not tell.
-    pub fn known_age(&self, now: Now) -> Option<Duration> {
-        self.age_at_answer.map(|age| age + now.saturating_sub(self.answered_at))
-    }
-
-    /// Like [`known_age`](Self::known_age), where an unknown age counts as the greatest possible.
+    /// The greatest age that the configuration may have at `now`; the greatest possible if the home could not tell.
     pub fn age(&self, now: Now) -> Duration {
-        self.known_age(now).unwrap_or(Duration::MAX)
+        self.age_at_answer.map_or(Duration::MAX, |age| age + now.saturating_sub(self.answered_at))
     }
 
     /// Whether the configuration is at most [`MAX_FRESH_AGE`] old.
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -9,6 +9,7 @@
 mod announcement;
 mod changes;
 mod digest;
+mod freeze;
 mod gateway_count;
 mod gateway_leases;
 mod heartbeat;
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -11,6 +11,7 @@
 use std::sync::Arc;
 
 use crate::announcement::Announcement;
+use crate::freeze::FreezeDetector;
 use crate::peers::Peers;
 use crate::record::BackendRecord;
 use crate::settings::RegistrySettings;
@@ -43,7 +44,7 @@
     /// The backends whose heartbeats arrive at this process.
     last_heartbeats: BTreeMap<Arc<str>, LastHeartbeat>,
     peers: Peers,
-    last_call_at: Now,
+    freezes: FreezeDetector,
     /// Until then a backend that is missing here may still be known elsewhere, so absence is not stated.
     grace_until: Now,
     isolated: bool,
@@ -58,7 +59,7 @@
             store: RecordStore::default(),
             last_heartbeats: BTreeMap::new(),
             peers: Peers::new(settings.peer_death),
-            last_call_at: now,
+            freezes: FreezeDetector::new(now, settings.freeze),
             grace_until,
             isolated: false,
             settings,
@@ -132,11 +133,7 @@
     /// Records the time of a call. A long pause since the last one may mean that this process was frozen and
     /// missed heartbeats: nothing expires by that pause, and the grace period starts again.
     fn record_call(&mut self, now: Now) {
-        let pause = now.saturating_sub(self.last_call_at);
-        self.last_call_at = self.last_call_at.max(now);
-        if pause <= self.settings.freeze {
-            return;
-        }
+        let Some(pause) = self.freezes.record_call(now) else { return };
         self.restart_grace_period(now);
         self.peers.extend_timeouts(pause);
         for heartbeat in self.last_heartbeats.values_mut() {
--- a/crates/system/src/home_link.rs
+++ b/crates/system/src/home_link.rs
@@ -29,8 +29,6 @@
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Events of all connections that may wait for the link.
 const MAX_QUEUED_EVENTS: usize = 256;
-/// A home whose configuration was the newest so lately is as good as a fresh one.
-const FRESH_WITHIN: Duration = Duration::from_millis(600);
 /// A process that has heard of no fresh configuration serves by what it has after this time from its start.
 const STALE_CONFIGURATION_AFTER: Duration = Duration::from_millis(300);
 
@@ -230,8 +228,7 @@
         if let Some(configuration) = update.configuration {
             self.configuration.receive(configuration);
         }
-        let fresh = self.selector.configuration_age(now).is_some_and(|age| age <= FRESH_WITHIN);
-        if fresh || self.configuration.in_force().is_some() {
+        if self.selector.is_fresh(now) || self.configuration.in_force().is_some() {
             self.configuration.publish_pending(&self.shared, &self.log);
         }
     }
