--- a/crates/configuration/src/patch.rs
+++ b/crates/configuration/src/patch.rs
@@ -149,29 +149,27 @@
         self.upsert.is_empty() && self.delete.is_empty()
     }
 
+    fn insert_once<'a>(
+        &self,
+        names: &mut HashSet<&'a str>,
+        name: &'a str,
+        text: &str,
+    ) -> Result<(), ConfigurationError> {
+        if names.insert(name) {
+            return Ok(());
+        }
+        Err(refused(ConfigurationCode::NamedTwice, self.list, name, text))
+    }
+
     /// Each name may stand once.
     fn check(&self) -> Result<(), ConfigurationError> {
         let mut replaced = HashSet::new();
         for (name, _) in &self.upsert {
-            if !replaced.insert(name.as_str()) {
-                return Err(refused(
-                    ConfigurationCode::NamedTwice,
-                    self.list,
-                    name,
-                    "stands twice in upsert",
-                ));
-            }
+            self.insert_once(&mut replaced, name, "stands twice in upsert")?;
         }
         let mut deleted = HashSet::new();
         for name in &self.delete {
-            if !deleted.insert(name.as_str()) {
-                return Err(refused(
-                    ConfigurationCode::NamedTwice,
-                    self.list,
-                    name,
-                    "stands twice in delete",
-                ));
-            }
+            self.insert_once(&mut deleted, name, "stands twice in delete")?;
             if replaced.contains(name.as_str()) {
                 let text = "is both replaced and deleted";
                 return Err(refused(ConfigurationCode::ReplacedAndDeleted, self.list, name, text));
--- a/crates/control-plane/src/host/peer_messages.rs
+++ b/crates/control-plane/src/host/peer_messages.rs
@@ -10,7 +10,7 @@
 
 use super::{Host, SLOW_TICKS_PER_PRESENCE, TICKS_PER_SLOW_TICK};
 use crate::event::PeerMessage;
-use crate::peers::PeerChange;
+use crate::peers::{home_of, PeerChange};
 use crate::pending_announcements::Relay;
 
 impl Host {
@@ -105,8 +105,7 @@
 
     /// Recomputes the homes: all voters, all peers that are up, and this process unless it is shutting down.
     pub(super) fn update_homes(&mut self) {
-        let voters = self.components.replica.view().members.iter();
-        let voters = voters.map(|member| CoreMember { address: member.address, zone: member.zone.clone() });
+        let voters = self.components.replica.view().members.iter().map(home_of);
         let own = CoreMember { address: self.components.address, zone: self.components.zone.clone() };
         let own = self.leaving_since.is_none().then_some(own);
         let mut homes: Vec<CoreMember> = voters.chain(self.peers.homes()).chain(own).collect();
--- a/crates/control-plane/src/peers.rs
+++ b/crates/control-plane/src/peers.rs
@@ -4,6 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use crankpick_control::Member;
 use crankpick_protocol::CoreMember;
 use crankpick_registry::{Now, ProcessId};
 
@@ -14,6 +15,11 @@
 /// The most peers known at a time.
 const MAX_PEERS: usize = 256;
 
+/// A member of the view, as it is sent to gateways.
+pub fn home_of(member: &Member) -> CoreMember {
+    CoreMember { address: member.address, zone: member.zone.clone() }
+}
+
 /// A change of a peer's liveness.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerChange {
--- a/crates/control-plane/src/quotas.rs
+++ b/crates/control-plane/src/quotas.rs
@@ -78,8 +78,8 @@
         self.leased.retain(|tenant, _| limits.contains_key(tenant));
     }
 
-    /// Applies a new view, whose epoch is the fencing token of ownership. An allocator is kept only if this process owned
-    /// the tenant in the immediately preceding view.
+    /// Applies a new view. An owner's fencing token begins at its epoch times [`TOKENS_PER_EPOCH`], so a later owner fences
+    /// off an earlier one. An allocator is kept only if this process owned the tenant in the immediately preceding view.
     pub fn view_changed(&mut self, view: &View) {
         if view.epoch == self.epoch {
             return;
--- a/crates/control-plane/src/redirector.rs
+++ b/crates/control-plane/src/redirector.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use crankpick_control::{Body, Hello, Member, MemberId, Message, Now, Sender as MessageSender, View};
-use crankpick_protocol::{CoreMember, HomeUpdate};
+use crankpick_protocol::HomeUpdate;
 use crankpick_registry::{GatewayTotal, ProcessId};
 use serde::Serialize;
 use slog::{info, Logger};
@@ -18,6 +18,7 @@
 use crate::event::{Event, PeerMessage, SessionId};
 use crate::member_search::MemberSearch;
 use crate::peer_connections::PeerConnections;
+use crate::peers::home_of;
 use crate::random_ids::random_id;
 
 /// The most gateways connected at a time; more get no answer.
@@ -150,14 +151,11 @@
 
     /// Sends a gateway the members. Without a freshness, the gateway moves to one of them.
     fn answer_gateway(&mut self, session: SessionId, number: u64) {
-        let members = self.search.view().members.iter();
         let update = HomeUpdate {
             home: self.process,
             answers: Some(number),
             freshness_ms: None,
-            members: members
-                .map(|member| CoreMember { address: member.address, zone: member.zone.clone() })
-                .collect(),
+            members: self.search.view().members.iter().map(home_of).collect(),
             configuration: None,
             changes: None,
             gateways: GatewayTotal { count: 0, settled: false },
