--- a/crates/dispatch/src/backend.rs
+++ b/crates/dispatch/src/backend.rs
@@ -2,7 +2,7 @@
 
 use crate::hash::hash_id;
 use crate::health::Health;
-use crate::interface::{BackendView, Now, ReportedLoad};
+use crate::interface::{BackendView, ReportedLoad, Timestamp};
 use crate::pace::Fading;
 use crate::prefix::PrefixCache;
 use crate::weights::Weights;
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Pending {
     serial: u32,
-    began: Now,
+    began: Timestamp,
     expected_ms: f64,
 }
 
@@ -41,7 +41,7 @@
     pub near: bool,
     pub hash: u64,
     /// Since when the view has not held it.
-    pub gone_since: Option<Now>,
+    pub gone_since: Option<Timestamp>,
     /// Sends that have not ended.
     pub in_flight: u32,
     /// Load units of these.
@@ -50,11 +50,11 @@
     pub kept: PrefixCache,
     pending: Vec<Pending>,
     /// When all that this gateway sent there has been read.
-    free_at: Now,
+    free_at: Timestamp,
     /// Since when its silence counts: when anything last came from it, or the first send went out.
-    heard: Now,
-    answered: Option<Now>,
-    full_until: Now,
+    heard: Timestamp,
+    answered: Option<Timestamp>,
+    full_until: Timestamp,
     others_wait_ms: Fading,
     others_running: Fading,
     pace: Fading,
@@ -76,10 +76,10 @@
             health: Health::default(),
             kept: PrefixCache::default(),
             pending: Vec::new(),
-            free_at: Now::ZERO,
-            heard: Now::ZERO,
+            free_at: Timestamp::ZERO,
+            heard: Timestamp::ZERO,
             answered: None,
-            full_until: Now::ZERO,
+            full_until: Timestamp::ZERO,
             others_wait_ms: Fading::new(0.0, weights.others_tau_ms),
             others_running: Fading::new(0.0, RUNNING_TAU_MS),
             pace: Fading::new(0.0, PACE_TAU_MS),
@@ -87,55 +87,61 @@
     }
 
     /// Whether it may be sent a request, with regard to its health and to what it refused.
-    pub fn open(&self, now: Now, repeatable: bool) -> bool {
-        self.health.open(now, repeatable) && now >= self.full_until
+    pub fn open(&self, now: Timestamp, idempotent: bool) -> bool {
+        self.health.open(now, idempotent) && now >= self.full_until
     }
 
     /// The most load units that it bears: its slots, by how fast it is against its peers.
-    pub fn max_units(&self, now: Now, mean_value: f64) -> f64 {
+    pub fn max_units(&self, now: Timestamp, mean_value: f64) -> f64 {
         f64::from(self.view.slots.max(1)) * mean_value / self.slowness(now)
     }
 
     /// Load units there: its own sends', and the others' as told.
-    pub fn load_units(&self, now: Now, mean_value: f64) -> f64 {
+    pub fn load_units(&self, now: Timestamp, mean_value: f64) -> f64 {
         self.units + self.others_running(now) * mean_value
     }
 
     /// How long it has said nothing past what a send expected, if nothing came since that began or, where
     /// this gateway itself stood still, since it `resumed`.
-    pub fn silent(&self, now: Now, began: Now, expected_ms: f64, resumed: Now) -> Option<Duration> {
+    pub fn silent(
+        &self,
+        now: Timestamp,
+        began: Timestamp,
+        expected_ms: f64,
+        resumed: Timestamp,
+    ) -> Option<Duration> {
         let expected = Duration::from_secs_f64(expected_ms / 1e3);
         (self.heard <= began).then(|| now.saturating_sub(began.max(resumed)).saturating_sub(expected))
     }
 
     /// Whether something came from it a moment ago.
-    pub fn heard_lately(&self, now: Now) -> bool {
+    pub fn heard_lately(&self, now: Timestamp) -> bool {
         self.answered.is_some_and(|answered| now.saturating_sub(answered) <= HEARD_LATELY)
     }
 
     /// This gateway stood still: what it didn't hear meanwhile was no silence.
-    pub fn resume(&mut self, now: Now) {
+    pub fn resume(&mut self, now: Timestamp) {
         self.heard = self.heard.max(now);
     }
 
     /// How much slower than its peers it is.
-    pub fn slowness(&self, now: Now) -> f64 {
+    pub fn slowness(&self, now: Timestamp) -> f64 {
         let cold = if now < self.view.warm_at { COLD_SLOWNESS } else { 1.0 };
         cold * self.pace.value(now, 0.0).exp().clamp(PACE_BOUNDS.0, PACE_BOUNDS.1)
     }
 
     /// Requests there that this gateway did not send, as last told.
-    pub fn others_running(&self, now: Now) -> f64 {
+    pub fn others_running(&self, now: Timestamp) -> f64 {
         self.others_running.value(now, 0.0)
     }
 
     /// Requests there, own and told.
-    pub fn requests(&self, now: Now) -> f64 {
+    pub fn requests(&self, now: Timestamp) -> f64 {
         f64::from(self.in_flight) + self.others_running(now)
     }
 
     /// Whether requests of others wait there, as last told.
-    pub fn others_wait(&self, now: Now) -> bool {
+    pub fn others_wait(&self, now: Timestamp) -> bool {
         self.others_wait_ms.value(now, 0.0) > OTHERS_WAIT_MS
     }
 
@@ -146,13 +152,13 @@
 
     /// The time until what is there before a new request has been read, `usual` being what its peers' answers
     /// wait for others' requests.
-    pub fn wait_ms(&self, now: Now, usual: f64, weights: &Weights) -> f64 {
+    pub fn wait_ms(&self, now: Timestamp, usual: f64, weights: &Weights) -> f64 {
         let others_ms = self.others_wait_ms.value(now, usual);
         (self.own_wait_ms(now) + others_ms).max(self.silence_ms(now) * weights.silence)
     }
 
     /// The time until what this gateway sent there has been read.
-    pub fn own_wait_ms(&self, now: Now) -> f64 {
+    pub fn own_wait_ms(&self, now: Timestamp) -> f64 {
         if self.pending.is_empty() {
             0.0
         } else {
@@ -161,12 +167,12 @@
     }
 
     /// Streams that run there, own and told.
-    pub fn streams(&self, now: Now) -> f64 {
+    pub fn streams(&self, now: Timestamp) -> f64 {
         f64::from(self.in_flight) - self.pending.len() as f64 + self.others_running(now)
     }
 
     /// How much longer than expected it has been silent, though something should have come.
-    pub fn silence_ms(&self, now: Now) -> f64 {
+    pub fn silence_ms(&self, now: Timestamp) -> f64 {
         let oldest = self.pending.iter().min_by_key(|pending| pending.began);
         let waits =
             oldest.map_or(0.0, |of| ms(now.saturating_sub(of.began.max(self.heard))) - of.expected_ms);
@@ -176,7 +182,7 @@
     }
 
     /// A request goes there that is to be read in `reading_ms`, its first event expected after `expected_ms`.
-    pub fn begin(&mut self, now: Now, serial: u32, reading_ms: f64, expected_ms: f64) {
+    pub fn begin(&mut self, now: Timestamp, serial: u32, reading_ms: f64, expected_ms: f64) {
         if self.pending.is_empty() && self.in_flight == 0 {
             // Its silence so far was no sign.
             self.heard = now;
@@ -188,7 +194,7 @@
     }
 
     /// Something came from it.
-    pub fn hear(&mut self, now: Now) {
+    pub fn hear(&mut self, now: Timestamp) {
         self.heard = now;
         self.answered = Some(now);
     }
@@ -199,7 +205,7 @@
     }
 
     /// What it says of itself at the head of an answer; `mean_ms` is what one that waits there takes.
-    pub fn report(&mut self, now: Now, load: ReportedLoad, mean_ms: f64, usual: f64) {
+    pub fn report(&mut self, now: Timestamp, load: ReportedLoad, mean_ms: f64, usual: f64) {
         let own = self.in_flight.saturating_sub(self.pending.len() as u32);
         let others = load.waiting.saturating_sub(self.pending.len() as u32);
         self.others_wait_ms.see(now, usual, f64::from(others) * mean_ms, 0.5);
@@ -208,13 +214,13 @@
     }
 
     /// A first event came this much later than own sends explain, and took `times` what it was expected to.
-    pub fn learn(&mut self, now: Now, late_ms: f64, usual: f64, times: f64, share: f64) {
+    pub fn learn(&mut self, now: Timestamp, late_ms: f64, usual: f64, times: f64, share: f64) {
         self.others_wait_ms.see(now, usual, late_ms.max(0.0), share);
         self.pace.see(now, 0.0, times.ln(), PACE_SHARE);
     }
 
     /// It refused a request.
-    pub fn refused(&mut self, now: Now) {
+    pub fn refused(&mut self, now: Timestamp) {
         self.full_until = now + FULL_FOR;
     }
 }
--- a/crates/dispatch/src/choose.rs
+++ b/crates/dispatch/src/choose.rs
@@ -32,8 +32,8 @@
 
 impl Dispatcher {
     /// The backend for a request, or why there is none.
-    pub fn choose(&mut self, now: Now, request: &DispatchRequest) -> Choice {
-        self.notice(now);
+    pub fn choose(&mut self, now: Timestamp, request: &DispatchRequest) -> Choice {
+        self.detect_stall(now);
         let Some(index) = self.service_index(request.service) else { return Choice::NoBackend };
         if self.services[index].groups.due(now) {
             self.regroup(now, index);
@@ -87,7 +87,7 @@
     }
 
     /// Whether the group's mean load is at most a tenth of its mean maximum.
-    fn light(&self, now: Now, index: usize, candidates: &[Candidate]) -> bool {
+    fn light(&self, now: Timestamp, index: usize, candidates: &[Candidate]) -> bool {
         let value = self.services[index].mean_value;
         let group = candidates.iter().filter(|of| of.penalty <= 0.0).filter_map(|of| self.backend(of.key));
         let (load, max) = group.fold((0.0, 0.0), |(load, max), backend| {
@@ -102,14 +102,20 @@
     }
 
     /// The next of a light group, of its own zone's members where one of them may be used.
-    fn rotated(&mut self, now: Now, index: usize, kind: Kind, request: &DispatchRequest) -> Option<Found> {
+    fn rotated(
+        &mut self,
+        now: Timestamp,
+        index: usize,
+        kind: Kind,
+        request: &DispatchRequest,
+    ) -> Option<Found> {
         let bound = self.services[index].conns_bound(self.gateways);
-        let repeatable = request.route.repeatable;
+        let idempotent = request.route.idempotent;
         // Few load units may yet be long prompts: one that waits as long is not light.
         let bears_ms = request.route.slo.as_secs_f64() * 1e3 * self.settings.weights.light;
         let fit = Fit::new(now, request, &self.services[index], &self.settings.weights, None);
         let usable = |key: BackendKey| {
-            let backend = self.usable(key, request, bound).filter(|backend| backend.open(now, repeatable));
+            let backend = self.usable(key, request, bound).filter(|backend| backend.open(now, idempotent));
             backend.is_some_and(|backend| fit.expected(backend, 0.0).wait_ms() <= bears_ms)
         };
         let group = self.services[index].groups.of(kind);
@@ -124,14 +130,14 @@
     /// The candidate that costs least; ties are drawn. Those that fail or are full only where no other is left.
     fn best(
         &mut self,
-        now: Now,
+        now: Timestamp,
         index: usize,
         request: &DispatchRequest,
         candidates: &[Candidate],
         part: Option<u64>,
     ) -> Option<Found> {
         let bound = self.services[index].conns_bound(self.gateways);
-        let last_used = part.and_then(|part| self.used(part));
+        let last_used = part.and_then(|part| self.last_prefix_use(part));
         let mut rng = self.rng.fork();
         let fit = Fit::new(now, request, &self.services[index], &self.settings.weights, last_used);
         for open in [true, false] {
@@ -139,7 +145,7 @@
             let mut ties = 1;
             for candidate in candidates {
                 let Some(backend) = self.usable(candidate.key, request, bound) else { continue };
-                if open && !backend.open(now, request.route.repeatable) {
+                if open && !backend.open(now, request.route.idempotent) {
                     continue;
                 }
                 let mut expected = fit.expected(backend, candidate.kept);
@@ -172,7 +178,7 @@
 
     fn answer(
         &self,
-        now: Now,
+        now: Timestamp,
         index: usize,
         request: &DispatchRequest,
         found: Found,
@@ -180,7 +186,7 @@
     ) -> Choice {
         let Some(backend) = self.backend(found.key) else { return Choice::NoBackend };
         let service = &self.services[index];
-        let last_used = part.and_then(|part| self.used(part));
+        let last_used = part.and_then(|part| self.last_prefix_use(part));
         let fit = Fit::new(now, request, service, &self.settings.weights, last_used);
         if let Some(retry_after) = refused(&fit, backend, &found.expected) {
             return Choice::Full { retry_after };
--- a/crates/dispatch/src/fit.rs
+++ b/crates/dispatch/src/fit.rs
@@ -1,7 +1,7 @@
 //! What a request would meet at a backend, and what going there costs: lateness, crossings, parts read again.
 
 use crate::backend::Backend;
-use crate::interface::{DispatchRequest, Now, PromptPart};
+use crate::interface::{DispatchRequest, PromptPart, Timestamp};
 use crate::service::Service;
 use crate::weights::Weights;
 
@@ -20,7 +20,7 @@
 
 /// A request and what weighs on its choice.
 pub(crate) struct Fit<'a> {
-    pub now: Now,
+    pub now: Timestamp,
     pub request: &'a DispatchRequest<'a>,
     pub service: &'a Service,
     weights: &'a Weights,
@@ -60,14 +60,14 @@
 
 impl<'a> Fit<'a> {
     pub fn new(
-        now: Now,
+        now: Timestamp,
         request: &'a DispatchRequest<'a>,
         service: &'a Service,
         weights: &'a Weights,
-        last_used: Option<Now>,
+        last_used: Option<Timestamp>,
     ) -> Fit<'a> {
         let shared_tokens = shared(request).iter().map(|part| f64::from(part.tokens)).sum();
-        let lately = |used: Now| now.saturating_sub(used).as_secs_f64() * 1e3 < AGAIN_MS;
+        let lately = |used: Timestamp| now.saturating_sub(used).as_secs_f64() * 1e3 < AGAIN_MS;
         let used_lately = if last_used.is_some_and(lately) { 1.0 } else { weights.shared_elsewhere };
         Fit { now, request, service, weights, shared_tokens, used_lately }
     }
@@ -80,7 +80,7 @@
     }
 
     fn crossing(&self, backend: &Backend) -> f64 {
-        let answer = f64::from(self.request.answer_tokens) * ANSWER_BYTES + HEAD_BYTES;
+        let answer = f64::from(self.request.response_tokens) * ANSWER_BYTES + HEAD_BYTES;
         let kb = (f64::from(self.request.request_bytes) + answer) / 1e3;
         if backend.near {
             0.0
@@ -135,7 +135,7 @@
         let requests = backend.requests(self.now);
         let slots = f64::from(backend.view.slots.max(1));
         let memory = self.service.view.engine.map_or(0.0, |engine| engine.kv_tokens as f64) * MEMORY_SHARE;
-        let own = f64::from(self.request.prompt_tokens) + f64::from(self.request.answer_tokens);
+        let own = f64::from(self.request.prompt_tokens) + f64::from(self.request.response_tokens);
         let tokens = requests * self.service.mean_tokens + own;
         let memory_taken = if memory > 0.0 && requests >= 1.0 { tokens / memory } else { 0.0 };
         let taken = memory_taken.max(requests / slots);
--- a/crates/dispatch/src/groups.rs
+++ b/crates/dispatch/src/groups.rs
@@ -1,7 +1,7 @@
 //! Server groups: each type with recent traffic gets a share of its service's backends by its share of the load.
 
 use crate::hash::{Circle, Point};
-use crate::interface::{BackendKey, Now};
+use crate::interface::{BackendKey, Timestamp};
 use crate::kinds::Kind;
 use crate::rotation::Rotation;
 use std::sync::Arc;
@@ -60,7 +60,7 @@
     traffic: [f64; 4],
     /// Requests in that traffic.
     requests: f64,
-    rebuild_at: Option<Now>,
+    rebuild_at: Option<Timestamp>,
 }
 
 /// The requests from which shares are known well enough to deal so many backends. Gateways see traffic of their own
@@ -111,7 +111,7 @@
     }
 
     /// A request came that adds so many units.
-    pub fn see(&mut self, now: Now, kind: Kind, units: f64) {
+    pub fn see(&mut self, now: Timestamp, kind: Kind, units: f64) {
         self.traffic[kind.index()] += units;
         self.requests += 1.0;
         // Until traffic is known a group is all; the first groups come soon after it begins.
@@ -121,12 +121,12 @@
     }
 
     /// Whether the groups are due to be rebuilt.
-    pub fn due(&self, now: Now) -> bool {
+    pub fn due(&self, now: Timestamp) -> bool {
         self.rebuild_at.is_some_and(|at| now >= at)
     }
 
     /// Deals the backends that are ready to the types; rotations go on from `start`.
-    pub fn rebuild(&mut self, now: Now, members: Vec<Member>, start: usize) {
+    pub fn rebuild(&mut self, now: Timestamp, members: Vec<Member>, start: usize) {
         let members = interleaved(members);
         let rotation = Rotation::starting_at(start);
         let turns = Turns { near: rotation, all: rotation };
--- a/crates/dispatch/src/health.rs
+++ b/crates/dispatch/src/health.rs
@@ -1,6 +1,6 @@
 //! Ejection: a backend whose sends fail well above its peers' gets none for a growing time, then one at a time.
 
-use crate::interface::{Now, Outcome};
+use crate::interface::{Outcome, Timestamp};
 use std::time::Duration;
 
 const FIRST_REST: Duration = Duration::from_millis(500);
@@ -55,7 +55,7 @@
     in_a_row: u32,
     good_in_a_row: u32,
     strikes: u32,
-    rest_until: Option<Now>,
+    rest_until: Option<Timestamp>,
     trials_left: u32,
     trial_out: bool,
 }
@@ -72,8 +72,8 @@
     }
 
     /// Whether it may be sent a request now; one that may run only once is no trial before its time.
-    pub fn open(&self, now: Now, repeatable: bool) -> bool {
-        let patience = if repeatable { Duration::ZERO } else { ONCE_PATIENCE };
+    pub fn open(&self, now: Timestamp, idempotent: bool) -> bool {
+        let patience = if idempotent { Duration::ZERO } else { ONCE_PATIENCE };
         self.rest_until.is_none_or(|until| now >= until + patience && !self.trial_out)
     }
 
@@ -124,7 +124,7 @@
     }
 
     /// It rests, longer each time; `jitter` of 0 to 1 spreads the gateways' trials.
-    pub fn eject(&mut self, now: Now, jitter: f64) {
+    pub fn eject(&mut self, now: Timestamp, jitter: f64) {
         let doubled = FIRST_REST * (1 << self.strikes.min(4));
         let rest = doubled.min(LONGEST_REST).mul_f64(0.75 + 0.5 * jitter);
         self.strikes += 1;
--- a/crates/dispatch/src/interface.rs
+++ b/crates/dispatch/src/interface.rs
@@ -1,203 +1,203 @@
-//! What passes between the data plane and the dispatcher.
+//! The types exchanged between the data plane and the dispatcher.
 
 use crate::weights::Weights;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time since the start of the process, by its steady clock.
-pub type Now = Duration;
+/// Time since the start of the process, measured with a monotonic clock.
+pub type Timestamp = Duration;
 
-/// What a dispatcher is told once, at its start.
+/// Settings of a dispatcher, fixed when it is created.
 #[derive(Clone, Debug)]
 pub struct DispatcherSettings {
     /// The zone of this gateway.
     pub zone: String,
-    /// What the choice weighs against time.
+    /// The cost weights used to compare backends.
     pub weights: Weights,
 }
 
 impl DispatcherSettings {
-    /// The usual weights, for a gateway in this zone.
+    /// Returns settings with the default weights for a gateway in `zone`.
     pub fn new(zone: impl Into<String>) -> DispatcherSettings {
         DispatcherSettings { zone: zone.into(), weights: Weights::default() }
     }
 }
 
-/// The fleet as this gateway knows it: a snapshot, handed over whole whenever it changed.
+/// A complete snapshot of the fleet as this gateway knows it, passed in on every change.
 #[derive(Clone, Debug, Default)]
 pub struct FleetView {
-    /// The services of the configuration in force.
+    /// The services in the active configuration.
     pub services: Vec<ServiceView>,
-    /// The backends of all services, in whatever state.
+    /// The backends of all services, in any state.
     pub backends: Vec<BackendView>,
-    /// Gateways alive, this one included.
+    /// The number of live gateways, including this one.
     pub gateways: usize,
 }
 
 /// A service as the configuration describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceView {
-    /// The service's name.
+    /// The unique name of the service.
     pub name: Arc<str>,
-    /// Connections that one backend accepts from all callers together; 0 is no bound.
+    /// The maximum number of connections per backend, summed over all gateways; 0 means unlimited.
     pub max_conns: u32,
-    /// Set where the service's backends are engines of a language model.
+    /// Set if the service's backends are language model inference engines.
     pub engine: Option<EngineView>,
 }
 
-/// What the configuration says of a service's engines.
+/// The configured capacity of a service's inference engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineView {
-    /// Requests that one engine runs at once.
+    /// The number of requests that one engine runs concurrently.
     pub slots: u32,
-    /// Tokens that its memory holds, of running requests and of kept parts together.
+    /// The KV cache capacity in tokens, shared by running requests and cached prompt parts.
     pub kv_tokens: u64,
 }
 
-/// Whether a backend may get requests.
+/// The registration state of a backend, which decides whether it receives requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendState {
-    /// It takes requests.
+    /// The backend accepts requests.
     Ready,
-    /// It has said that it leaves.
+    /// The backend has announced that it is shutting down.
     Draining,
-    /// Its heartbeats have ceased.
+    /// The backend has stopped sending heartbeats.
     Silent,
-    /// It has left.
+    /// The backend has deregistered.
     Gone,
 }
 
-/// A backend as the registry knows it.
+/// A backend as recorded in the registry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendView {
-    /// The id of this incarnation.
+    /// The instance id, new for each incarnation.
     pub id: Arc<str>,
-    /// The service that it belongs to.
+    /// The name of the service that the backend belongs to.
     pub service: Arc<str>,
-    /// Where it listens.
+    /// The address that the backend listens on.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone that the backend runs in.
     pub zone: Arc<str>,
-    /// Requests that it works on at once.
+    /// The number of requests that the backend processes concurrently.
     pub slots: u32,
-    /// Whether it may get requests.
+    /// The registration state.
     pub state: BackendState,
-    /// Until when it is slow from its start.
-    pub warm_at: Now,
+    /// The end of the warm-up period, during which the backend is slower than usual.
+    pub warm_at: Timestamp,
 }
 
-/// A backend within one dispatcher, stable as long as it is known.
+/// Identifies a backend within one dispatcher; stable for as long as the dispatcher tracks the backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct BackendKey(pub u32);
 
-/// A part of a prompt, as `X-Prompt-Prefix` names it.
+/// A part of a prompt, as listed in `X-Prompt-Prefix`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// What names the part.
+    /// The identifier of the part.
     pub id: u64,
-    /// Its length.
+    /// The length in tokens.
     pub tokens: u32,
 }
 
-/// What the choice needs of the request's route.
+/// The route settings that affect backend selection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RouteTerms {
-    /// The time within which the first event or the answer earns its full worth.
+pub struct RoutePolicy {
+    /// The latency objective for the first event or the response; within it a request earns its full value.
     pub slo: Duration,
-    /// Whether the prompt's parts are to be sent where they are kept.
+    /// Whether requests are routed to backends that have the prompt's parts cached (prefix affinity).
     pub sticky: bool,
-    /// Whether it may run more than once: such requests try out backends that failed.
-    pub repeatable: bool,
+    /// Whether a request may run more than once. Idempotent requests are preferred as trials of ejected backends.
+    pub idempotent: bool,
 }
 
-/// One request for which a backend is sought.
+/// A request to select a backend for.
 #[derive(Clone, Debug)]
 pub struct DispatchRequest<'a> {
-    /// The service picked of the route's split.
+    /// The service, already selected from the route's traffic split.
     pub service: &'a str,
-    /// What its route says.
-    pub route: RouteTerms,
-    /// Its rank, 0 the highest; the tenant's where it has one.
+    /// The settings of the route.
+    pub route: RoutePolicy,
+    /// The priority, 0 being the highest; the tenant's priority if one is configured.
     pub priority: u8,
-    /// Tokens of the prompt by `X-Token-Usage`; 0 where it is absent.
+    /// Prompt tokens from `X-Token-Usage`; 0 if absent.
     pub prompt_tokens: u32,
-    /// The most tokens of the answer by `X-Token-Usage`; 0 where it is absent.
-    pub answer_tokens: u32,
-    /// The parts of the prompt in their order.
+    /// The maximum number of response tokens from `X-Token-Usage`; 0 if absent.
+    pub response_tokens: u32,
+    /// The parts of the prompt, in order.
     pub parts: &'a [PromptPart],
-    /// Bytes of the request, which crossing a zone costs.
+    /// The size of the request in bytes, used to price cross-zone traffic.
     pub request_bytes: u32,
-    /// Time spent on the request before this choice.
+    /// Time already spent on the request.
     pub elapsed: Duration,
-    /// Time left until nobody waits for the answer any more.
+    /// Time left until the client stops waiting for the response.
     pub deadline: Duration,
-    /// Backends that it was sent to before.
+    /// Backends that earlier attempts of this request were sent to.
     pub tried: &'a [BackendKey],
 }
 
-/// Where a request goes.
+/// The backend selected for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// The backend's key, for `begin` and `tried`.
+    /// The key of the backend, as passed to `Dispatcher::begin` and in `DispatchRequest::tried`.
     pub backend: BackendKey,
-    /// Its id, for `X-Expect-Instance`.
+    /// The instance id, sent as `X-Expect-Instance`.
     pub id: Arc<str>,
-    /// Where it listens.
+    /// The address to connect to.
     pub address: SocketAddr,
-    /// What to send as `Priority`, for engines.
+    /// The value of the `Priority` header; set for inference engines only.
     pub priority_header: Option<u8>,
 }
 
-/// What is to be done with a request.
+/// The result of selecting a backend for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// It goes to this backend.
+    /// Send the request to this backend.
     Send(Target),
-    /// Its service's places are taken: it is refused at once, and may come again after this time.
+    /// The service is at capacity; reject the request now and let the client retry later.
     Full {
-        /// When a place is expected.
+        /// The delay after which capacity is expected.
         retry_after: Duration,
     },
-    /// No backend of its service that it may go to is known.
+    /// The service has no known backend that the request may use.
     NoBackend,
 }
 
-/// One send of a request, from `begin` to `end`.
+/// A handle for one attempt to execute a request, valid from `Dispatcher::begin` to `Dispatcher::end`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Ticket {
     pub(crate) index: u32,
     pub(crate) serial: u32,
 }
 
-/// `X-Backend-Load` of an answer.
+/// The load reported in the `X-Backend-Load` header of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Queued requests.
     pub waiting: u32,
-    /// Requests that may run at once.
+    /// The maximum number of concurrently running requests.
     pub slots: u32,
 }
 
-/// How a send ended.
+/// The result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole answer came.
+    /// The complete response was received.
     Done,
-    /// The backend answered 5xx and may have run it, or broke its answer off.
+    /// The backend returned 5xx and may have executed the request, or it truncated its response.
     BackendError,
-    /// The backend stated that it did not run it (`X-Not-Executed`).
+    /// The backend reported that it did not execute the request (`X-Not-Executed`).
     Refused,
-    /// No connection came up.
+    /// The connection could not be established.
     NoConnection,
-    /// The connection was reset or closed after the request went out.
+    /// The connection was reset or closed after the request had been sent.
     Reset,
-    /// Given up on, as too long silent.
+    /// The attempt was abandoned because the backend sent nothing for too long.
     TimedOut,
-    /// Another backend listens there now (421).
+    /// Another instance now listens on the address (421 Misdirected Request).
     Misdirected,
-    /// The client went away.
+    /// The client disconnected.
     ClientGone,
 }
--- a/crates/dispatch/src/kinds.rs
+++ b/crates/dispatch/src/kinds.rs
@@ -32,8 +32,8 @@
 }
 
 /// The size of a request.
-pub(crate) fn size(prompt_tokens: f64, answer_tokens: f64) -> f64 {
-    prompt_tokens + ANSWER_WEIGHT * answer_tokens
+pub(crate) fn size(prompt_tokens: f64, response_tokens: f64) -> f64 {
+    prompt_tokens + ANSWER_WEIGHT * response_tokens
 }
 
 /// Cuts a service's requests into bands by the mean of the sizes seen.
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,4 +1,4 @@
-//! The choice of a backend for each request of a gateway. No I/O, no clock: the host hands in the time.
+//! Backend selection for a gateway's requests. Performs no I/O and reads no clock; the caller passes in the time.
 
 mod admission;
 mod backend;
--- a/crates/dispatch/src/pace.rs
+++ b/crates/dispatch/src/pace.rs
@@ -1,6 +1,6 @@
 //! How fast a service's backends are, learned from times to the first event.
 
-use crate::interface::Now;
+use crate::interface::Timestamp;
 
 /// Before anything is learned.
 const TOKENS_PER_MS: f64 = 60.0;
@@ -89,23 +89,23 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Fading {
     value: f64,
-    at: Now,
+    at: Timestamp,
     tau_ms: f64,
 }
 
 impl Fading {
     pub fn new(value: f64, tau_ms: f64) -> Fading {
-        Fading { value, at: Now::ZERO, tau_ms }
+        Fading { value, at: Timestamp::ZERO, tau_ms }
     }
 
     /// The value now, where `usual` is what it fades to.
-    pub fn value(&self, now: Now, usual: f64) -> f64 {
+    pub fn value(&self, now: Timestamp, usual: f64) -> f64 {
         let age_ms = now.saturating_sub(self.at).as_secs_f64() * 1e3;
         usual + (self.value - usual) * (-age_ms / self.tau_ms).exp()
     }
 
     /// An observation that counts for `share` of the new value.
-    pub fn see(&mut self, now: Now, usual: f64, observed: f64, share: f64) {
+    pub fn see(&mut self, now: Timestamp, usual: f64, observed: f64, share: f64) {
         let value = self.value(now, usual);
         self.value = value + (observed - value) * share;
         self.at = now;
--- a/crates/dispatch/src/prefix.rs
+++ b/crates/dispatch/src/prefix.rs
@@ -1,6 +1,6 @@
 //! Which parts of prompts a backend keeps, as far as it follows from what this gateway sent there.
 
-use crate::interface::{Now, PromptPart};
+use crate::interface::{PromptPart, Timestamp};
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Kept {
     tokens: u32,
-    used: Now,
+    used: Timestamp,
 }
 
 /// The parts that one backend is believed to keep, the least recently used giving way.
@@ -20,19 +20,19 @@
 pub(crate) struct PrefixCache {
     parts: HashMap<u64, Kept>,
     /// Uses in their order; of one part only the last one counts.
-    uses: VecDeque<(u64, Now)>,
+    uses: VecDeque<(u64, Timestamp)>,
     tokens: u64,
 }
 
 impl PrefixCache {
     /// Tokens at the prompt's start that need not be read.
-    pub fn kept_tokens(&self, now: Now, parts: &[PromptPart]) -> u32 {
+    pub fn kept_tokens(&self, now: Timestamp, parts: &[PromptPart]) -> u32 {
         let kept = |part: &&PromptPart| self.parts.get(&part.id).is_some_and(|of| now < of.used + KEPT_FOR);
         parts.iter().take_while(kept).fold(0, |sum, part| sum.saturating_add(part.tokens))
     }
 
     /// A prompt was sent there: its parts are kept now, as far as `bound` tokens go.
-    pub fn sent(&mut self, now: Now, parts: &[PromptPart], bound: u64) {
+    pub fn sent(&mut self, now: Timestamp, parts: &[PromptPart], bound: u64) {
         for part in parts {
             let kept = Kept { tokens: part.tokens, used: now };
             let before = self.parts.insert(part.id, kept).map_or(0, |kept| u64::from(kept.tokens));
--- a/crates/dispatch/src/sends.rs
+++ b/crates/dispatch/src/sends.rs
@@ -2,7 +2,7 @@
 
 use crate::backend::Backend;
 use crate::fit::Fit;
-use crate::interface::{BackendKey, DispatchRequest, Now, Ticket};
+use crate::interface::{BackendKey, DispatchRequest, Ticket, Timestamp};
 use crate::service::Service;
 use crate::weights::Weights;
 
@@ -19,7 +19,7 @@
     pub serial: u32,
     pub backend: BackendKey,
     pub service: u32,
-    pub began: Now,
+    pub began: Timestamp,
     /// The units it adds to its backend's load.
     pub units: f64,
     /// Tokens of its prompt that are expected to be read.
@@ -30,14 +30,14 @@
     /// Whether nothing else of this gateway's waited there.
     pub alone: bool,
     /// When its first event came, and whether that has taught anything yet.
-    pub answered: Option<Now>,
+    pub answered: Option<Timestamp>,
     pub taught: bool,
     pub trial: bool,
     pub priority: u8,
 }
 
 impl Send {
-    pub fn new(serial: u32, backend: BackendKey, service: u32, began: Now) -> Send {
+    pub fn new(serial: u32, backend: BackendKey, service: u32, began: Timestamp) -> Send {
         Send {
             serial,
             backend,
@@ -61,7 +61,7 @@
         service: &mut Service,
         backend: &mut Backend,
         request: &DispatchRequest,
-        last_used: Option<Now>,
+        last_used: Option<Timestamp>,
         weights: &Weights,
     ) {
         let kind = service.kind(request);
--- a/crates/dispatch/src/service.rs
+++ b/crates/dispatch/src/service.rs
@@ -2,7 +2,7 @@
 
 use crate::fit::shared;
 use crate::groups::Groups;
-use crate::interface::{DispatchRequest, Now, ServiceView};
+use crate::interface::{DispatchRequest, ServiceView, Timestamp};
 use crate::kinds::{size, Bands, Kind};
 use crate::pace::{Fading, ServicePace};
 
@@ -23,7 +23,7 @@
 fn load_size(request: &DispatchRequest) -> f64 {
     let shared: f64 = shared(request).iter().map(|part| f64::from(part.tokens)).sum();
     let prompt = (f64::from(request.prompt_tokens) - shared).max(0.0) + shared * SHARED_READ;
-    size(prompt, f64::from(request.answer_tokens))
+    size(prompt, f64::from(request.response_tokens))
 }
 
 /// A service, its groups, and what its backends are usually like.
@@ -86,8 +86,8 @@
     }
 
     /// Takes in a request that is sent for the first time.
-    pub fn see(&mut self, now: Now, request: &DispatchRequest, kind: Kind, reading_ms: f64) {
-        let tokens = f64::from(request.prompt_tokens) + f64::from(request.answer_tokens);
+    pub fn see(&mut self, now: Timestamp, request: &DispatchRequest, kind: Kind, reading_ms: f64) {
+        let tokens = f64::from(request.prompt_tokens) + f64::from(request.response_tokens);
         let size = load_size(request);
         self.bands.see(size);
         // Values are of one order; what engines read differs by three.
@@ -111,24 +111,24 @@
     }
 
     /// What a backend's wait fades to, unless it is told.
-    pub fn usual_wait_ms(&self, now: Now) -> f64 {
+    pub fn usual_wait_ms(&self, now: Timestamp) -> f64 {
         self.usual_wait_ms.value(now, 0.0)
     }
 
     /// What answers usually take against what was expected.
-    pub fn usual_times(&self, now: Now) -> f64 {
+    pub fn usual_times(&self, now: Timestamp) -> f64 {
         self.usual_times.value(now, 0.0).exp()
     }
 
     /// What a request of this priority waits for others, against the mean request.
-    pub fn rank_wait(&self, now: Now, priority: u8) -> f64 {
+    pub fn rank_wait(&self, now: Timestamp, priority: u8) -> f64 {
         let mean = self.usual_wait_ms(now) + RANK_LEAST_MS;
         let own = self.rank_wait_ms[usize::from(priority).min(RANKS - 1)].value(now, mean) + RANK_LEAST_MS;
         (own / mean).clamp(RANK_BOUNDS.0, RANK_BOUNDS.1)
     }
 
     /// An answer was late by this, and took `times` what was expected.
-    pub fn learn(&mut self, now: Now, priority: u8, late_ms: f64, times: f64) {
+    pub fn learn(&mut self, now: Timestamp, priority: u8, late_ms: f64, times: f64) {
         let usual = self.usual_wait_ms(now);
         self.usual_wait_ms.see(now, 0.0, late_ms.max(0.0), USUAL_SHARE);
         let rank = &mut self.rank_wait_ms[usize::from(priority).min(RANKS - 1)];
--- a/crates/dispatch/tests/admission.rs
+++ b/crates/dispatch/tests/admission.rs
@@ -71,7 +71,7 @@
 #[test]
 fn full_slots_of_plain_backends_queue_and_then_refuse() {
     let mut dispatcher = dispatcher(&ledgers(2), 1);
-    let terms = RouteTerms { slo: Duration::from_millis(100), repeatable: false, sticky: false };
+    let terms = RoutePolicy { slo: Duration::from_millis(100), idempotent: false, sticky: false };
     let once = DispatchRequest { route: terms, ..request("ledger", 0, 0) };
     let mut sent = 0;
     while let Choice::Send(target) = dispatcher.choose(at(1), &once) {
--- a/crates/dispatch/tests/health.rs
+++ b/crates/dispatch/tests/health.rs
@@ -80,7 +80,7 @@
 fn trials_are_left_to_requests_that_may_run_twice_for_a_while() {
     let mut dispatcher = dispatcher(&in_one_zone(engines(4)), 1);
     traffic(&mut dispatcher, 0, 15, "llm-1", Outcome::NoConnection);
-    let once = RouteTerms { repeatable: false, ..TERMS };
+    let once = RoutePolicy { idempotent: false, ..TERMS };
     let mut reached_at = None;
     for now_ms in (400..4000).step_by(20) {
         let request = DispatchRequest { route: once, ..request("llm", 500, 50) };
@@ -168,7 +168,7 @@
     let mut reached = 0;
     for turn in 0..400 {
         let parts = [PromptPart { id: 5000 + turn, tokens: 3000 }];
-        let route = RouteTerms { sticky: true, ..TERMS };
+        let route = RoutePolicy { sticky: true, ..TERMS };
         let request = DispatchRequest { route, parts: &parts, ..request("llm", 3000, 50) };
         let target = target(dispatcher.choose(at(turn * 40), &request));
         let ticket = dispatcher.begin(at(turn * 40), target.backend, &request);
--- a/crates/dispatch/tests/mechanism.rs
+++ b/crates/dispatch/tests/mechanism.rs
@@ -176,7 +176,7 @@
     let cold = (0..40).filter(|turn| {
         let parts = [PromptPart { id: 100 + turn, ..parts[0] }];
         let request = DispatchRequest {
-            route: RouteTerms { sticky: true, slo: Duration::from_millis(50), ..TERMS },
+            route: RoutePolicy { sticky: true, slo: Duration::from_millis(50), ..TERMS },
             parts: &parts,
             ..request("llm", 6000, 50)
         };
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -235,14 +235,14 @@
         let engine = class.work.is_none();
         let asked = DispatchRequest {
             service: class.service,
-            route: RouteTerms {
+            route: RoutePolicy {
                 slo: Duration::from_secs_f64(class.slo_ms / 1e3),
                 sticky: engine,
-                repeatable: class.again,
+                idempotent: class.again,
             },
             priority: class.priority,
             prompt_tokens: parts.iter().map(|part| part.tokens).sum(),
-            answer_tokens: if engine { request.arrival.answer_tokens } else { 0 },
+            response_tokens: if engine { request.arrival.answer_tokens } else { 0 },
             parts,
             request_bytes: class.request_bytes,
             elapsed,
--- a/crates/dispatch/tests/support/policies.rs
+++ b/crates/dispatch/tests/support/policies.rs
@@ -6,12 +6,12 @@
 
 /// The way one gateway chooses; sends are named by the harness's serial.
 pub trait Policy {
-    fn update(&mut self, now: Now, view: &FleetView);
-    fn choose(&mut self, now: Now, request: &DispatchRequest) -> Choice;
-    fn begin(&mut self, now: Now, send: usize, backend: BackendKey, request: &DispatchRequest);
-    fn first_event(&mut self, now: Now, send: usize, load: Option<ReportedLoad>);
-    fn event(&mut self, now: Now, send: usize);
-    fn end(&mut self, now: Now, send: usize, outcome: Outcome);
+    fn update(&mut self, now: Timestamp, view: &FleetView);
+    fn choose(&mut self, now: Timestamp, request: &DispatchRequest) -> Choice;
+    fn begin(&mut self, now: Timestamp, send: usize, backend: BackendKey, request: &DispatchRequest);
+    fn first_event(&mut self, now: Timestamp, send: usize, load: Option<ReportedLoad>);
+    fn event(&mut self, now: Timestamp, send: usize);
+    fn end(&mut self, now: Timestamp, send: usize, outcome: Outcome);
 }
 
 /// Chooses by a dispatcher.
@@ -27,28 +27,28 @@
 }
 
 impl Policy for ByDispatcher {
-    fn update(&mut self, now: Now, view: &FleetView) {
+    fn update(&mut self, now: Timestamp, view: &FleetView) {
         self.dispatcher.update(now, view);
     }
 
-    fn choose(&mut self, now: Now, request: &DispatchRequest) -> Choice {
+    fn choose(&mut self, now: Timestamp, request: &DispatchRequest) -> Choice {
         self.dispatcher.choose(now, request)
     }
 
-    fn begin(&mut self, now: Now, send: usize, backend: BackendKey, request: &DispatchRequest) {
+    fn begin(&mut self, now: Timestamp, send: usize, backend: BackendKey, request: &DispatchRequest) {
         let ticket = self.dispatcher.begin(now, backend, request);
         self.tickets.insert(send, ticket);
     }
 
-    fn first_event(&mut self, now: Now, send: usize, load: Option<ReportedLoad>) {
+    fn first_event(&mut self, now: Timestamp, send: usize, load: Option<ReportedLoad>) {
         self.dispatcher.first_event(now, self.tickets[&send], load);
     }
 
-    fn event(&mut self, now: Now, send: usize) {
+    fn event(&mut self, now: Timestamp, send: usize) {
         self.dispatcher.event(now, self.tickets[&send], 7);
     }
 
-    fn end(&mut self, now: Now, send: usize, outcome: Outcome) {
+    fn end(&mut self, now: Timestamp, send: usize, outcome: Outcome) {
         let ticket = self.tickets.remove(&send).expect("a send ends once");
         self.dispatcher.end(now, ticket, outcome);
     }
@@ -95,13 +95,13 @@
 }
 
 impl Policy for ByPlain {
-    fn update(&mut self, _now: Now, view: &FleetView) {
+    fn update(&mut self, _now: Timestamp, view: &FleetView) {
         self.view = view.clone();
         self.out.resize(view.backends.len(), 0);
         self.told.resize(view.backends.len(), 0);
     }
 
-    fn choose(&mut self, _now: Now, request: &DispatchRequest) -> Choice {
+    fn choose(&mut self, _now: Timestamp, request: &DispatchRequest) -> Choice {
         let usable: Vec<usize> = (0..self.view.backends.len())
             .filter(|at| {
                 let backend = &self.view.backends[*at];
@@ -119,19 +119,19 @@
         Choice::Send(Target { backend: BackendKey(at as u32), id, address, priority_header })
     }
 
-    fn begin(&mut self, _now: Now, send: usize, backend: BackendKey, _request: &DispatchRequest) {
+    fn begin(&mut self, _now: Timestamp, send: usize, backend: BackendKey, _request: &DispatchRequest) {
         self.out[backend.0 as usize] += 1;
         self.sends.insert(send, backend.0 as usize);
     }
 
-    fn first_event(&mut self, _now: Now, send: usize, load: Option<ReportedLoad>) {
+    fn first_event(&mut self, _now: Timestamp, send: usize, load: Option<ReportedLoad>) {
         let at = self.sends[&send];
         self.told[at] = load.map_or(self.told[at], |load| load.running + load.waiting);
     }
 
-    fn event(&mut self, _now: Now, _send: usize) {}
+    fn event(&mut self, _now: Timestamp, _send: usize) {}
 
-    fn end(&mut self, _now: Now, send: usize, _outcome: Outcome) {
+    fn end(&mut self, _now: Timestamp, send: usize, _outcome: Outcome) {
         let at = self.sends.remove(&send).expect("a send ends once");
         self.out[at] -= 1;
     }
--- a/crates/dispatch/tests/support/scene.rs
+++ b/crates/dispatch/tests/support/scene.rs
@@ -3,7 +3,7 @@
 use crankpick_dispatch::*;
 use std::time::Duration;
 
-pub fn at(ms: u64) -> Now {
+pub fn at(ms: u64) -> Timestamp {
     Duration::from_millis(ms)
 }
 
@@ -46,7 +46,8 @@
     dispatcher
 }
 
-pub const TERMS: RouteTerms = RouteTerms { slo: Duration::from_millis(500), sticky: false, repeatable: true };
+pub const TERMS: RoutePolicy =
+    RoutePolicy { slo: Duration::from_millis(500), sticky: false, idempotent: true };
 
 /// A request to `ledger` or, with lengths, to `llm`.
 pub fn request(service: &str, prompt_tokens: u32, answer_tokens: u32) -> DispatchRequest<'_> {
@@ -55,7 +56,7 @@
         route: TERMS,
         priority: 1,
         prompt_tokens,
-        answer_tokens,
+        response_tokens: answer_tokens,
         parts: &[],
         request_bytes: prompt_tokens + 500,
         elapsed: Duration::ZERO,
@@ -74,7 +75,7 @@
 }
 
 pub fn session_request<'a>(parts: &'a [PromptPart; 3]) -> DispatchRequest<'a> {
-    let route = RouteTerms { sticky: true, ..TERMS };
+    let route = RoutePolicy { sticky: true, ..TERMS };
     DispatchRequest { route, parts, ..request("llm", 6000, 300) }
 }
 
--- a/crates/gateway/src/courier.rs
+++ b/crates/gateway/src/courier.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crankpick_configuration::RouteRule;
-use crankpick_dispatch::{BackendKey, Choice, DispatchRequest, RouteTerms, Target};
+use crankpick_dispatch::{BackendKey, Choice, DispatchRequest, RoutePolicy, Target};
 use hyper::StatusCode;
 use tokio::time::{sleep, sleep_until, Instant};
 
@@ -243,10 +243,10 @@
         let usage = request.size.usage;
         DispatchRequest {
             service: &self.service,
-            route: RouteTerms { slo: route.slo, sticky: route.sticky, repeatable: route.repeatable() },
+            route: RoutePolicy { slo: route.slo, sticky: route.sticky, idempotent: route.repeatable() },
             priority: request.terms.priority(),
             prompt_tokens: usage.map_or(0, |usage| usage.prompt),
-            answer_tokens: usage.map_or(0, |usage| usage.answer),
+            response_tokens: usage.map_or(0, |usage| usage.answer),
             parts: &request.size.parts,
             request_bytes: request.bytes(),
             elapsed: request.arrived.elapsed(),
