--- a/crates/dispatch/src/admission.rs
+++ b/crates/dispatch/src/admission.rs
@@ -1,7 +1,7 @@
 //! Whether a request is taken at all: by what it would wait where it is best off, its objective and its rank.
 
 use crate::backend::Backend;
-use crate::fit::{Expected, Fit};
+use crate::fit::{CostModel, Estimate};
 use std::time::Duration;
 
 /// Objectives that the least and the most urgent requests of a service may wait for others'.
@@ -19,15 +19,15 @@
 const MOST_RETRY: Duration = Duration::from_secs(2);
 
 /// When to come again where a request would wait too long even at the best backend for it.
-pub(crate) fn refused(fit: &Fit, best: &Backend, expected: &Expected) -> Option<Duration> {
+pub(crate) fn refused(fit: &CostModel, best: &Backend, estimate: &Estimate) -> Option<Duration> {
     let requests = best.requests(fit.now);
     let taken = requests >= f64::from(best.view.slots.max(1)) * TAKEN;
     // A refusal while places are free and nothing waits would be for nothing.
-    if !taken && best.waiting() == 0 && !best.others_wait(fit.now) {
+    if !taken && best.pending_count() == 0 && !best.has_external_wait(fit.now) {
         return None;
     }
     // What it needs itself is no reason: the longest would never be served. The more urgent are let ahead.
-    let wait_ms = expected.wait_ms() * fit.service.rank_wait(fit.now, fit.request.priority);
+    let wait_ms = estimate.wait_ms() * fit.service.priority_wait_ratio(fit.now, fit.request.priority);
     let limit_ms = limit_ms(fit);
     if wait_ms <= limit_ms {
         return None;
@@ -37,11 +37,11 @@
 }
 
 /// The longest wait that a request of this rank is taken for.
-fn limit_ms(fit: &Fit) -> f64 {
+fn limit_ms(fit: &CostModel) -> f64 {
     let ms = |time: Duration| time.as_secs_f64() * 1e3;
     let objective_ms = ms(fit.request.route.slo.saturating_sub(fit.request.elapsed));
     let urgency = fit.service.urgency(fit.request.priority);
     let reach = LEAST_REACH + (MOST_REACH - LEAST_REACH) * urgency;
-    let strain = STRAIN * fit.service.usual_wait_ms(fit.now) / objective_ms.max(LEAST_OBJECTIVE_MS);
+    let strain = STRAIN * fit.service.baseline_wait_ms(fit.now) / objective_ms.max(LEAST_OBJECTIVE_MS);
     (objective_ms * reach / (1.0 + strain)).min(ms(fit.request.deadline) * DEADLINE_REACH)
 }
--- /dev/null
+++ b/crates/dispatch/src/attempts.rs
@@ -0,0 +1,153 @@
+//! The attempts in flight, indexed by ticket.
+
+use crate::backend::Backend;
+use crate::fit::CostModel;
+use crate::interface::{BackendKey, DispatchRequest, Ticket, Timestamp};
+use crate::service::Service;
+use crate::weights::Weights;
+
+/// The share of an engine's KV cache that is assumed to hold this gateway's prompt parts.
+const KV_CACHE_SHARE: f64 = 0.8;
+/// The assumed KV cache capacity in tokens if none is configured.
+const DEFAULT_KV_TOKENS: u64 = 200_000;
+/// Bounds of the latency ratio learned from a single response.
+const LATENCY_RATIO_BOUNDS: (f64, f64) = (0.1, 20.0);
+
+/// An attempt in flight.
+#[derive(Clone, Debug)]
+pub(crate) struct Attempt {
+    pub serial: u32,
+    pub backend: BackendKey,
+    pub service: u32,
+    pub began: Timestamp,
+    /// The load units that the attempt adds to its backend.
+    pub units: f64,
+    /// The estimated number of prompt tokens that need prefill.
+    pub unread: f64,
+    /// The estimated time to the first event on an unloaded backend and at the load found there, in ms.
+    pub unloaded_ms: f64,
+    pub expected_ms: f64,
+    /// Whether no other attempt of this gateway was waiting for its first event there.
+    pub alone: bool,
+    /// When the first event arrived.
+    pub answered: Option<Timestamp>,
+    /// Whether the latency of the first event has been recorded.
+    pub latency_recorded: bool,
+    /// Whether this is a trial of an ejected backend.
+    pub trial: bool,
+    pub priority: u8,
+}
+
+impl Attempt {
+    pub fn new(serial: u32, backend: BackendKey, service: u32, began: Timestamp) -> Attempt {
+        Attempt {
+            serial,
+            backend,
+            service,
+            began,
+            units: 0.0,
+            unread: 0.0,
+            unloaded_ms: 0.0,
+            expected_ms: 0.0,
+            alone: false,
+            answered: None,
+            latency_recorded: false,
+            trial: false,
+            priority: 0,
+        }
+    }
+
+    /// Starts the attempt: adds it to the backend and, if it is the first of its request, to the service statistics.
+    pub fn start(
+        &mut self,
+        service: &mut Service,
+        backend: &mut Backend,
+        request: &DispatchRequest,
+        last_used: Option<Timestamp>,
+        weights: &Weights,
+    ) {
+        let kind = service.kind(request);
+        let estimate =
+            CostModel::new(self.began, request, service, weights, last_used).estimate(backend, 0.0);
+        let prefill_ms = service.pace.prefill_ms(estimate.unread);
+        (self.units, self.unread) = (kind.value(), estimate.unread);
+        (self.unloaded_ms, self.expected_ms) = (estimate.unloaded_ms, estimate.first_event_ms);
+        self.alone = backend.pending_count() == 0;
+        self.trial = backend.health.begin();
+        backend.begin(self.began, self.serial, prefill_ms, estimate.first_event_ms);
+        self.priority = request.priority;
+        backend.units += self.units;
+        if let Some(engine) = service.view.engine {
+            let memory = if engine.kv_tokens > 0 { engine.kv_tokens } else { DEFAULT_KV_TOKENS };
+            backend.kept.sent(self.began, request.parts, (memory as f64 * KV_CACHE_SHARE) as u64);
+        }
+        if request.tried.is_empty() {
+            service.observe(self.began, request, kind, prefill_ms);
+        }
+    }
+
+    /// Records the latency of the first event for the backend and the service, once. Called only when the response is
+    /// known not to be a refusal.
+    pub fn record_latency(&mut self, service: &mut Service, backend: &mut Backend, weights: &Weights) {
+        let Some(now) = self.answered.filter(|_| !self.latency_recorded) else { return };
+        self.latency_recorded = true;
+        let took_ms = (now.saturating_sub(self.began).as_secs_f64() * 1e3).max(0.1);
+        let latency_ratio = took_ms / self.expected_ms.max(0.1);
+        if !service.is_engine() {
+            service.pace.observe_response(took_ms);
+        }
+        // The latency of an attempt queued behind others of this gateway includes theirs.
+        if !self.alone {
+            return;
+        }
+        if service.is_engine() {
+            service.pace.observe_first_event(self.unread, took_ms);
+        }
+        let baseline_ms = service.baseline_wait_ms(now);
+        let relative_ratio = (latency_ratio / service.baseline_latency_ratio(now))
+            .clamp(LATENCY_RATIO_BOUNDS.0, LATENCY_RATIO_BOUNDS.1);
+        let excess_ms = took_ms - self.unloaded_ms;
+        backend.record_latency(now, excess_ms, baseline_ms, relative_ratio, weights.late_share);
+        service.record_latency(now, self.priority, excess_ms, latency_ratio);
+    }
+}
+
+/// All attempts in flight.
+#[derive(Debug, Default)]
+pub(crate) struct Attempts {
+    slots: Vec<Option<Attempt>>,
+    free_indices: Vec<u32>,
+    last_serial: u32,
+}
+
+impl Attempts {
+    pub fn next_serial(&mut self) -> u32 {
+        self.last_serial = self.last_serial.wrapping_add(1);
+        self.last_serial
+    }
+
+    pub fn is_empty(&self) -> bool {
+        self.slots.len() == self.free_indices.len()
+    }
+
+    pub fn insert(&mut self, attempt: Attempt) -> Ticket {
+        let serial = attempt.serial;
+        let index = self.free_indices.pop().unwrap_or(self.slots.len() as u32);
+        match self.slots.get_mut(index as usize) {
+            Some(slot) => *slot = Some(attempt),
+            None => self.slots.push(Some(attempt)),
+        }
+        Ticket { index, serial }
+    }
+
+    pub fn get_mut(&mut self, ticket: Ticket) -> Option<&mut Attempt> {
+        self.slots.get_mut(ticket.index as usize)?.as_mut().filter(|attempt| attempt.serial == ticket.serial)
+    }
+
+    pub fn remove(&mut self, ticket: Ticket) -> Option<Attempt> {
+        let slot = self.slots.get_mut(ticket.index as usize)?;
+        let attempt = slot.take_if(|attempt| attempt.serial == ticket.serial)?;
+        self.free_indices.push(ticket.index);
+        Some(attempt)
+    }
+}
--- a/crates/dispatch/src/backend.rs
+++ b/crates/dispatch/src/backend.rs
@@ -1,31 +1,31 @@
-//! What a dispatcher keeps of one backend.
+//! Per-backend state: in-flight attempts, estimated load, speed, health and cached prompt parts.
 
 use crate::hash::hash_id;
 use crate::health::Health;
 use crate::interface::{BackendView, ReportedLoad, Timestamp};
-use crate::pace::Fading;
+use crate::pace::DecayingMean;
 use crate::prefix::PrefixCache;
 use crate::weights::Weights;
 use std::time::Duration;
 
-/// How long a refusal keeps further requests away.
-const FULL_FOR: Duration = Duration::from_millis(150);
-/// How long the others' running requests are remembered.
-const RUNNING_TAU_MS: f64 = 2000.0;
-/// How long a backend's pace against its peers is remembered.
-const PACE_TAU_MS: f64 = 20_000.0;
-const PACE_SHARE: f64 = 0.1;
-const PACE_BOUNDS: (f64, f64) = (0.7, 10.0);
-/// How slow one that has just started is taken to be.
+/// How long a backend receives no requests after it refused one.
+const REFUSAL_BACKOFF: Duration = Duration::from_millis(150);
+/// Decay time constant of the number of running requests from other gateways.
+const EXTERNAL_RUNNING_DECAY_MS: f64 = 2000.0;
+/// Decay time constant of the slowness of a backend relative to its peers.
+const SLOWNESS_DECAY_MS: f64 = 20_000.0;
+const SLOWNESS_SMOOTHING: f64 = 0.1;
+const SLOWNESS_BOUNDS: (f64, f64) = (0.7, 10.0);
+/// The assumed slowness of a backend that is still warming up.
 const COLD_SLOWNESS: f64 = 1.5;
-/// A wait by others that is more than a trace of an old one, in ms.
-const OTHERS_WAIT_MS: f64 = 20.0;
-/// How recently a backend was heard if a failed connection is no sign of its end.
-const HEARD_LATELY: Duration = Duration::from_millis(300);
-/// Between the events of a stream a backend is silent for this long at the least, in ms.
-const USUAL_GAP_MS: f64 = 120.0;
-
-/// A send that has not had its first event.
+/// An external wait below this, in ms, is taken for the decayed remainder of an old one.
+const MIN_EXTERNAL_WAIT_MS: f64 = 20.0;
+/// If the backend responded this recently, a failed connection does not mean that it is down.
+const RECENT_RESPONSE: Duration = Duration::from_millis(300);
+/// The gap between stream events, in ms, up to which a backend does not count as silent.
+const TYPICAL_EVENT_GAP_MS: f64 = 120.0;
+
+/// An attempt that is waiting for its first event.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
     serial: u32,
@@ -33,31 +33,35 @@
     expected_ms: f64,
 }
 
-/// A backend of the view, with what this gateway has out on it and was told by it.
+/// A backend of the fleet view, with this gateway's in-flight attempts and the load that the backend reported.
 #[derive(Debug)]
 pub(crate) struct Backend {
     pub view: BackendView,
-    /// Whether it is in the gateway's own zone.
-    pub near: bool,
+    /// Whether the backend is in this gateway's zone.
+    pub same_zone: bool,
     pub hash: u64,
-    /// Since when the view has not held it.
+    /// When the backend disappeared from the fleet view.
     pub gone_since: Option<Timestamp>,
-    /// Sends that have not ended.
+    /// The number of attempts in flight.
     pub in_flight: u32,
-    /// Load units of these.
+    /// The sum of the load units of the attempts in flight.
     pub units: f64,
     pub health: Health,
+    /// The prompt parts that the backend is estimated to have cached.
     pub kept: PrefixCache,
     pending: Vec<Pending>,
-    /// When all that this gateway sent there has been read.
-    free_at: Timestamp,
-    /// Since when its silence counts: when anything last came from it, or the first send went out.
+    /// When the prefill of all prompts that this gateway sent is expected to be complete.
+    prefill_done_at: Timestamp,
+    /// The start of the current silence: the last sign of life, or the first attempt sent to the idle backend.
     heard: Timestamp,
+    /// When a response or an event last arrived.
     answered: Option<Timestamp>,
-    full_until: Timestamp,
-    others_wait_ms: Fading,
-    others_running: Fading,
-    pace: Fading,
+    refusing_until: Timestamp,
+    /// The estimated wait caused by requests of other gateways, in ms.
+    external_wait_ms: DecayingMean,
+    external_running: DecayingMean,
+    /// The logarithm of the slowness relative to the peers.
+    pace: DecayingMean,
 }
 
 fn ms(time: Duration) -> f64 {
@@ -67,7 +71,7 @@
 impl Backend {
     pub fn new(view: BackendView, zone: &str, weights: &Weights) -> Backend {
         Backend {
-            near: &*view.zone == zone,
+            same_zone: &*view.zone == zone,
             hash: hash_id(&view.id),
             view,
             gone_since: None,
@@ -76,33 +80,33 @@
             health: Health::default(),
             kept: PrefixCache::default(),
             pending: Vec::new(),
-            free_at: Timestamp::ZERO,
+            prefill_done_at: Timestamp::ZERO,
             heard: Timestamp::ZERO,
             answered: None,
-            full_until: Timestamp::ZERO,
-            others_wait_ms: Fading::new(0.0, weights.others_tau_ms),
-            others_running: Fading::new(0.0, RUNNING_TAU_MS),
-            pace: Fading::new(0.0, PACE_TAU_MS),
+            refusing_until: Timestamp::ZERO,
+            external_wait_ms: DecayingMean::new(0.0, weights.others_tau_ms),
+            external_running: DecayingMean::new(0.0, EXTERNAL_RUNNING_DECAY_MS),
+            pace: DecayingMean::new(0.0, SLOWNESS_DECAY_MS),
         }
     }
 
-    /// Whether it may be sent a request, with regard to its health and to what it refused.
+    /// Whether the backend accepts a request now, given its health and recent refusals.
     pub fn open(&self, now: Timestamp, idempotent: bool) -> bool {
-        self.health.open(now, idempotent) && now >= self.full_until
+        self.health.open(now, idempotent) && now >= self.refusing_until
     }
 
-    /// The most load units that it bears: its slots, by how fast it is against its peers.
-    pub fn max_units(&self, now: Timestamp, mean_value: f64) -> f64 {
-        f64::from(self.view.slots.max(1)) * mean_value / self.slowness(now)
+    /// The capacity in load units: the slots times the mean load units of a request, divided by the slowness.
+    pub fn max_load_units(&self, now: Timestamp, mean_load_units: f64) -> f64 {
+        f64::from(self.view.slots.max(1)) * mean_load_units / self.slowness(now)
     }
 
-    /// Load units there: its own sends', and the others' as told.
-    pub fn load_units(&self, now: Timestamp, mean_value: f64) -> f64 {
-        self.units + self.others_running(now) * mean_value
+    /// The current load units: those of own attempts plus an estimate for the reported requests of others.
+    pub fn load_units(&self, now: Timestamp, mean_load_units: f64) -> f64 {
+        self.units + self.external_running(now) * mean_load_units
     }
 
-    /// How long it has said nothing past what a send expected, if nothing came since that began or, where
-    /// this gateway itself stood still, since it `resumed`.
+    /// How long the backend has been silent beyond the expected time of an attempt; `None` if anything arrived after
+    /// the attempt began. If this process was stalled, the time counts from `resumed`.
     pub fn silent(
         &self,
         now: Timestamp,
@@ -114,113 +118,121 @@
         (self.heard <= began).then(|| now.saturating_sub(began.max(resumed)).saturating_sub(expected))
     }
 
-    /// Whether something came from it a moment ago.
-    pub fn heard_lately(&self, now: Timestamp) -> bool {
-        self.answered.is_some_and(|answered| now.saturating_sub(answered) <= HEARD_LATELY)
+    /// Whether a response or an event arrived within `RECENT_RESPONSE`.
+    pub fn responded_recently(&self, now: Timestamp) -> bool {
+        self.answered.is_some_and(|answered| now.saturating_sub(answered) <= RECENT_RESPONSE)
     }
 
-    /// This gateway stood still: what it didn't hear meanwhile was no silence.
+    /// Restarts the measurement of silence after a stall of this process, during which nothing could be received.
     pub fn resume(&mut self, now: Timestamp) {
         self.heard = self.heard.max(now);
     }
 
-    /// How much slower than its peers it is.
+    /// The factor by which the backend is slower than its peers.
     pub fn slowness(&self, now: Timestamp) -> f64 {
         let cold = if now < self.view.warm_at { COLD_SLOWNESS } else { 1.0 };
-        cold * self.pace.value(now, 0.0).exp().clamp(PACE_BOUNDS.0, PACE_BOUNDS.1)
+        cold * self.pace.value(now, 0.0).exp().clamp(SLOWNESS_BOUNDS.0, SLOWNESS_BOUNDS.1)
     }
 
-    /// Requests there that this gateway did not send, as last told.
-    pub fn others_running(&self, now: Timestamp) -> f64 {
-        self.others_running.value(now, 0.0)
+    /// The number of requests from other gateways, as last reported.
+    pub fn external_running(&self, now: Timestamp) -> f64 {
+        self.external_running.value(now, 0.0)
     }
 
-    /// Requests there, own and told.
+    /// The total number of requests, own and reported.
     pub fn requests(&self, now: Timestamp) -> f64 {
-        f64::from(self.in_flight) + self.others_running(now)
+        f64::from(self.in_flight) + self.external_running(now)
     }
 
-    /// Whether requests of others wait there, as last told.
-    pub fn others_wait(&self, now: Timestamp) -> bool {
-        self.others_wait_ms.value(now, 0.0) > OTHERS_WAIT_MS
+    /// Whether requests of other gateways are queued, as last reported.
+    pub fn has_external_wait(&self, now: Timestamp) -> bool {
+        self.external_wait_ms.value(now, 0.0) > MIN_EXTERNAL_WAIT_MS
     }
 
-    /// Sends that have not had their first event.
-    pub fn waiting(&self) -> usize {
+    /// The number of attempts waiting for their first event.
+    pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
-    /// The time until what is there before a new request has been read, `usual` being what its peers' answers
-    /// wait for others' requests.
-    pub fn wait_ms(&self, now: Timestamp, usual: f64, weights: &Weights) -> f64 {
-        let others_ms = self.others_wait_ms.value(now, usual);
-        (self.own_wait_ms(now) + others_ms).max(self.silence_ms(now) * weights.silence)
+    /// The estimated wait of a new request until the prefill of all earlier requests is complete, in ms. `baseline` is
+    /// the mean wait for requests of other gateways over all backends of the service.
+    pub fn wait_ms(&self, now: Timestamp, baseline: f64, weights: &Weights) -> f64 {
+        let external_ms = self.external_wait_ms.value(now, baseline);
+        (self.own_prefill_wait_ms(now) + external_ms).max(self.silence_ms(now) * weights.silence)
     }
 
-    /// The time until what this gateway sent there has been read.
-    pub fn own_wait_ms(&self, now: Timestamp) -> f64 {
+    /// The time until the prefill of this gateway's own attempts is complete, in ms.
+    pub fn own_prefill_wait_ms(&self, now: Timestamp) -> f64 {
         if self.pending.is_empty() {
             0.0
         } else {
-            ms(self.free_at.saturating_sub(now))
+            ms(self.prefill_done_at.saturating_sub(now))
         }
     }
 
-    /// Streams that run there, own and told.
-    pub fn streams(&self, now: Timestamp) -> f64 {
-        f64::from(self.in_flight) - self.pending.len() as f64 + self.others_running(now)
+    /// The number of running streams, own and reported.
+    pub fn active_streams(&self, now: Timestamp) -> f64 {
+        f64::from(self.in_flight) - self.pending.len() as f64 + self.external_running(now)
     }
 
-    /// How much longer than expected it has been silent, though something should have come.
+    /// How long the backend has been silent past the time when a first event or a further stream event was due, in ms.
     pub fn silence_ms(&self, now: Timestamp) -> f64 {
         let oldest = self.pending.iter().min_by_key(|pending| pending.began);
         let waits =
             oldest.map_or(0.0, |of| ms(now.saturating_sub(of.began.max(self.heard))) - of.expected_ms);
-        let streams = self.in_flight as usize > self.pending.len();
-        let gap = if streams { ms(now.saturating_sub(self.heard)) - USUAL_GAP_MS } else { 0.0 };
+        let streaming = self.in_flight as usize > self.pending.len();
+        let gap = if streaming { ms(now.saturating_sub(self.heard)) - TYPICAL_EVENT_GAP_MS } else { 0.0 };
         waits.max(gap).max(0.0)
     }
 
-    /// A request goes there that is to be read in `reading_ms`, its first event expected after `expected_ms`.
-    pub fn begin(&mut self, now: Timestamp, serial: u32, reading_ms: f64, expected_ms: f64) {
+    /// Records the start of an attempt with the estimated prefill time and the expected time of its first event.
+    pub fn begin(&mut self, now: Timestamp, serial: u32, prefill_ms: f64, expected_ms: f64) {
         if self.pending.is_empty() && self.in_flight == 0 {
-            // Its silence so far was no sign.
+            // An idle backend has nothing to send, so its silence so far is meaningless.
             self.heard = now;
         }
-        let from = if self.pending.is_empty() { now } else { self.free_at.max(now) };
-        self.free_at = from + Duration::from_secs_f64(reading_ms / 1e3);
+        let from = if self.pending.is_empty() { now } else { self.prefill_done_at.max(now) };
+        self.prefill_done_at = from + Duration::from_secs_f64(prefill_ms / 1e3);
         self.pending.push(Pending { serial, began: now, expected_ms });
         self.in_flight += 1;
     }
 
-    /// Something came from it.
-    pub fn hear(&mut self, now: Timestamp) {
+    /// Records a sign of life.
+    pub fn record_activity(&mut self, now: Timestamp) {
         self.heard = now;
         self.answered = Some(now);
     }
 
-    /// A send waits for its first event no more.
-    pub fn settle(&mut self, serial: u32) {
+    /// Removes an attempt from those waiting for their first event.
+    pub fn remove_pending(&mut self, serial: u32) {
         self.pending.retain(|pending| pending.serial != serial);
     }
 
-    /// What it says of itself at the head of an answer; `mean_ms` is what one that waits there takes.
-    pub fn report(&mut self, now: Timestamp, load: ReportedLoad, mean_ms: f64, usual: f64) {
+    /// Applies the load reported in a response header; `mean_ms` is the mean prefill time of a queued request.
+    pub fn record_reported_load(&mut self, now: Timestamp, load: ReportedLoad, mean_ms: f64, baseline: f64) {
         let own = self.in_flight.saturating_sub(self.pending.len() as u32);
-        let others = load.waiting.saturating_sub(self.pending.len() as u32);
-        self.others_wait_ms.see(now, usual, f64::from(others) * mean_ms, 0.5);
-        let running = load.running.saturating_sub(own) + others;
-        self.others_running.see(now, 0.0, f64::from(running), 1.0);
+        let queued_externally = load.waiting.saturating_sub(self.pending.len() as u32);
+        self.external_wait_ms.observe(now, baseline, f64::from(queued_externally) * mean_ms, 0.5);
+        let running = load.running.saturating_sub(own) + queued_externally;
+        self.external_running.observe(now, 0.0, f64::from(running), 1.0);
     }
 
-    /// A first event came this much later than own sends explain, and took `times` what it was expected to.
-    pub fn learn(&mut self, now: Timestamp, late_ms: f64, usual: f64, times: f64, share: f64) {
-        self.others_wait_ms.see(now, usual, late_ms.max(0.0), share);
-        self.pace.see(now, 0.0, times.ln(), PACE_SHARE);
+    /// Records a first event: `excess_ms` is the delay not explained by own attempts, `latency_ratio` the measured over
+    /// the expected time, relative to the service's baseline.
+    pub fn record_latency(
+        &mut self,
+        now: Timestamp,
+        excess_ms: f64,
+        baseline: f64,
+        latency_ratio: f64,
+        share: f64,
+    ) {
+        self.external_wait_ms.observe(now, baseline, excess_ms.max(0.0), share);
+        self.pace.observe(now, 0.0, latency_ratio.ln(), SLOWNESS_SMOOTHING);
     }
 
-    /// It refused a request.
+    /// Records that the backend refused a request.
     pub fn refused(&mut self, now: Timestamp) {
-        self.full_until = now + FULL_FOR;
+        self.refusing_until = now + REFUSAL_BACKOFF;
     }
 }
--- a/crates/dispatch/src/choose.rs
+++ b/crates/dispatch/src/choose.rs
@@ -3,7 +3,7 @@
 use crate::admission::refused;
 use crate::backend::Backend;
 use crate::dispatcher::Dispatcher;
-use crate::fit::{shared, Expected, Fit};
+use crate::fit::{shared_prefix, CostModel, Estimate};
 use crate::interface::*;
 use crate::kinds::Kind;
 use std::time::Duration;
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy)]
 struct Found {
     key: BackendKey,
-    expected: Expected,
+    estimate: Estimate,
 }
 
 impl Dispatcher {
@@ -39,7 +39,7 @@
             self.regroup(now, index);
         }
         let kind = self.services[index].kind(request);
-        let part = shared(request).last().filter(|_| request.route.sticky).map(|part| part.id);
+        let part = shared_prefix(request).last().filter(|_| request.route.sticky).map(|part| part.id);
         let drawn = self.rng.u64(..);
         // A part that stands alone may be the request's own and never come again.
         let shares = match (part, request.parts.len()) {
@@ -62,11 +62,11 @@
         let (group, homes, whole) = (groups.of(kind), groups.homes(kind), &groups.whole);
         let weights = &self.settings.weights;
         let lists = [
-            (&group.near, 0.0, None),
+            (&group.same_zone, 0.0, None),
             (&group.all, 0.0, None),
-            (&homes.near, 0.0, Some(weights.kept_near)),
+            (&homes.same_zone, 0.0, Some(weights.kept_near)),
             (&homes.all, 0.0, Some(weights.kept_at_first)),
-            (&whole.near, weights.foreign, None),
+            (&whole.same_zone, weights.foreign, None),
             (&whole.all, weights.foreign, None),
         ];
         let mut keys = Vec::with_capacity(CANDIDATES);
@@ -88,10 +88,10 @@
 
     /// Whether the group's mean load is at most a tenth of its mean maximum.
     fn light(&self, now: Timestamp, index: usize, candidates: &[Candidate]) -> bool {
-        let value = self.services[index].mean_value;
+        let value = self.services[index].mean_load_units;
         let group = candidates.iter().filter(|of| of.penalty <= 0.0).filter_map(|of| self.backend(of.key));
         let (load, max) = group.fold((0.0, 0.0), |(load, max), backend| {
-            (load + backend.load_units(now, value), max + backend.max_units(now, value))
+            (load + backend.load_units(now, value), max + backend.max_load_units(now, value))
         });
         load <= max * self.settings.weights.light
     }
@@ -109,22 +109,22 @@
         kind: Kind,
         request: &DispatchRequest,
     ) -> Option<Found> {
-        let bound = self.services[index].conns_bound(self.gateways);
+        let bound = self.services[index].max_connections_per_backend(self.gateways);
         let idempotent = request.route.idempotent;
         // Few load units may yet be long prompts: one that waits as long is not light.
         let bears_ms = request.route.slo.as_secs_f64() * 1e3 * self.settings.weights.light;
-        let fit = Fit::new(now, request, &self.services[index], &self.settings.weights, None);
+        let fit = CostModel::new(now, request, &self.services[index], &self.settings.weights, None);
         let usable = |key: BackendKey| {
             let backend = self.usable(key, request, bound).filter(|backend| backend.open(now, idempotent));
-            backend.is_some_and(|backend| fit.expected(backend, 0.0).wait_ms() <= bears_ms)
+            backend.is_some_and(|backend| fit.estimate(backend, 0.0).wait_ms() <= bears_ms)
         };
         let group = self.services[index].groups.of(kind);
         let mut turns = group.turns;
-        let near = turns.near.next(group.near.points(), usable);
-        let key = near.or_else(|| turns.all.next(group.all.points(), usable))?;
-        let expected = fit.expected(self.backend(key)?, 0.0);
+        let same_zone = turns.same_zone.next(group.same_zone.points(), usable);
+        let key = same_zone.or_else(|| turns.all.next(group.all.points(), usable))?;
+        let estimate = fit.estimate(self.backend(key)?, 0.0);
         self.services[index].groups.of_mut(kind).turns = turns;
-        Some(Found { key, expected })
+        Some(Found { key, estimate })
     }
 
     /// The candidate that costs least; ties are drawn. Those that fail or are full only where no other is left.
@@ -136,10 +136,10 @@
         candidates: &[Candidate],
         part: Option<u64>,
     ) -> Option<Found> {
-        let bound = self.services[index].conns_bound(self.gateways);
+        let bound = self.services[index].max_connections_per_backend(self.gateways);
         let last_used = part.and_then(|part| self.last_prefix_use(part));
         let mut rng = self.rng.fork();
-        let fit = Fit::new(now, request, &self.services[index], &self.settings.weights, last_used);
+        let fit = CostModel::new(now, request, &self.services[index], &self.settings.weights, last_used);
         for open in [true, false] {
             let mut best: Option<Found> = None;
             let mut ties = 1;
@@ -148,17 +148,17 @@
                 if open && !backend.open(now, request.route.idempotent) {
                     continue;
                 }
-                let mut expected = fit.expected(backend, candidate.kept);
-                expected.cost += candidate.penalty;
-                let least = best.map_or(f64::INFINITY, |best| best.expected.cost);
-                let tied = expected.cost == least && best.is_some_and(|best| best.key != candidate.key);
+                let mut estimate = fit.estimate(backend, candidate.kept);
+                estimate.cost += candidate.penalty;
+                let least = best.map_or(f64::INFINITY, |best| best.estimate.cost);
+                let tied = estimate.cost == least && best.is_some_and(|best| best.key != candidate.key);
                 if tied {
                     ties += 1;
-                } else if expected.cost < least {
+                } else if estimate.cost < least {
                     ties = 1;
                 }
-                if expected.cost < least || tied && rng.u32(0..ties) == 0 {
-                    best = Some(Found { key: candidate.key, expected });
+                if estimate.cost < least || tied && rng.u32(0..ties) == 0 {
+                    best = Some(Found { key: candidate.key, estimate });
                 }
             }
             if best.is_some() {
@@ -187,8 +187,8 @@
         let Some(backend) = self.backend(found.key) else { return Choice::NoBackend };
         let service = &self.services[index];
         let last_used = part.and_then(|part| self.last_prefix_use(part));
-        let fit = Fit::new(now, request, service, &self.settings.weights, last_used);
-        if let Some(retry_after) = refused(&fit, backend, &found.expected) {
+        let fit = CostModel::new(now, request, service, &self.settings.weights, last_used);
+        if let Some(retry_after) = refused(&fit, backend, &found.estimate) {
             return Choice::Full { retry_after };
         }
         Choice::Send(Target {
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -1,12 +1,12 @@
 //! The dispatcher: tracks backends, services and in-flight attempts.
 
+use crate::attempts::{Attempt, Attempts};
 use crate::backend::Backend;
-use crate::fit::shared;
+use crate::fit::shared_prefix;
 use crate::groups::Member;
 use crate::hash::Point;
 use crate::health::Verdict;
 use crate::interface::*;
-use crate::sends::{Send, Sends};
 use crate::service::Service;
 use fastrand::Rng;
 use std::collections::HashMap;
@@ -37,7 +37,7 @@
     pub(crate) backends: Vec<Option<Backend>>,
     keys: HashMap<Arc<str>, BackendKey>,
     free_indices: Vec<u32>,
-    sends: Sends,
+    attempts: Attempts,
     /// When this gateway last sent each shared prefix (identified by its last part) to any backend.
     prefix_uses: HashMap<u64, Timestamp>,
     /// The time of the most recent call.
@@ -58,7 +58,7 @@
             backends: Vec::new(),
             keys: HashMap::new(),
             free_indices: Vec::new(),
-            sends: Sends::default(),
+            attempts: Attempts::default(),
             prefix_uses: HashMap::new(),
             last_call: Timestamp::ZERO,
             resumed_at: Timestamp::ZERO,
@@ -161,7 +161,7 @@
                 zone: backend.view.zone.clone(),
                 hash: backend.hash,
                 backend: BackendKey(index as u32),
-                near: backend.near,
+                same_zone: backend.same_zone,
             })
             .collect()
     }
@@ -182,18 +182,20 @@
     /// Records the start of an attempt at a backend.
     pub fn begin(&mut self, now: Timestamp, key: BackendKey, request: &DispatchRequest) -> Ticket {
         self.detect_stall(now);
-        let serial = self.sends.next_serial();
+        let serial = self.attempts.next_serial();
         let index = self.service_indices.get(request.service).copied().unwrap_or(u32::MAX);
-        let mut send = Send::new(serial, key, index, now);
+        let mut attempt = Attempt::new(serial, key, index, now);
         if let Some(service) = self.services.get_mut(index as usize) {
-            let part = shared(request).last().map(|part| part.id);
+            let part = shared_prefix(request).last().map(|part| part.id);
             let last_used = part.and_then(|part| self.prefix_uses.get(&part).copied());
             let backend = self.backends.get_mut(key.0 as usize).and_then(Option::as_mut);
             let weights = &self.settings.weights;
-            backend.into_iter().for_each(|backend| send.leave(service, backend, request, last_used, weights));
+            backend
+                .into_iter()
+                .for_each(|backend| attempt.start(service, backend, request, last_used, weights));
             part.into_iter().for_each(|part| self.record_prefix_use(now, part));
         }
-        self.sends.insert(send)
+        self.attempts.insert(attempt)
     }
 
     fn record_prefix_use(&mut self, now: Timestamp, part: u64) {
@@ -206,61 +208,63 @@
     /// Records the response headers or, for a stream, the first event.
     pub fn first_event(&mut self, now: Timestamp, ticket: Ticket, load: Option<ReportedLoad>) {
         self.detect_stall(now);
-        let Some(send) = self.sends.get_mut(ticket).filter(|send| send.answered.is_none()) else { return };
-        send.answered = Some(now);
-        let Some(backend) = self.backends.get_mut(send.backend.0 as usize).and_then(Option::as_mut) else {
+        let Some(attempt) = self.attempts.get_mut(ticket).filter(|attempt| attempt.answered.is_none()) else {
             return;
         };
-        backend.hear(now);
-        backend.settle(send.serial);
-        if let Some((load, service)) = load.zip(self.services.get(send.service as usize)) {
-            backend.report(now, load, service.mean_reading_ms, service.usual_wait_ms(now));
+        attempt.answered = Some(now);
+        let Some(backend) = self.backends.get_mut(attempt.backend.0 as usize).and_then(Option::as_mut) else {
+            return;
+        };
+        backend.record_activity(now);
+        backend.remove_pending(attempt.serial);
+        if let Some((load, service)) = load.zip(self.services.get(attempt.service as usize)) {
+            backend.record_reported_load(now, load, service.mean_prefill_ms, service.baseline_wait_ms(now));
         }
     }
 
     /// Records a further event of a stream.
     pub fn event(&mut self, now: Timestamp, ticket: Ticket, _tokens: u32) {
         self.detect_stall(now);
-        let Some(send) = self.sends.get_mut(ticket) else { return };
-        let backend = self.backends.get_mut(send.backend.0 as usize).and_then(Option::as_mut);
-        if let Some((backend, service)) = backend.zip(self.services.get_mut(send.service as usize)) {
-            backend.hear(now);
-            send.teach(service, backend, &self.settings.weights);
+        let Some(attempt) = self.attempts.get_mut(ticket) else { return };
+        let backend = self.backends.get_mut(attempt.backend.0 as usize).and_then(Option::as_mut);
+        if let Some((backend, service)) = backend.zip(self.services.get_mut(attempt.service as usize)) {
+            backend.record_activity(now);
+            attempt.record_latency(service, backend, &self.settings.weights);
         }
     }
 
     /// Records the end of an attempt. Later calls with the same ticket are ignored.
     pub fn end(&mut self, now: Timestamp, ticket: Ticket, outcome: Outcome) {
         self.detect_stall(now);
-        let Some(mut send) = self.sends.remove(ticket) else { return };
-        let peers = if outcome == Outcome::Done { 0.0 } else { self.peer_failure_rate(&send) };
-        let backend = self.backends.get_mut(send.backend.0 as usize).and_then(Option::as_mut);
-        let Some((backend, service)) = backend.zip(self.services.get_mut(send.service as usize)) else {
+        let Some(mut attempt) = self.attempts.remove(ticket) else { return };
+        let peers = if outcome == Outcome::Done { 0.0 } else { self.peer_failure_rate(&attempt) };
+        let backend = self.backends.get_mut(attempt.backend.0 as usize).and_then(Option::as_mut);
+        let Some((backend, service)) = backend.zip(self.services.get_mut(attempt.service as usize)) else {
             return;
         };
         backend.in_flight -= 1;
-        backend.units -= send.units;
-        backend.settle(send.serial);
-        let silent = backend.silent(now, send.began, send.expected_ms, self.resumed_at);
-        let verdict = Verdict::of(outcome, silent, backend.heard_lately(now));
+        backend.units -= attempt.units;
+        backend.remove_pending(attempt.serial);
+        let silent = backend.silent(now, attempt.began, attempt.expected_ms, self.resumed_at);
+        let verdict = Verdict::of(outcome, silent, backend.responded_recently(now));
         match outcome {
             Outcome::Done => {
-                backend.hear(now);
-                send.teach(service, backend, &self.settings.weights);
+                backend.record_activity(now);
+                attempt.record_latency(service, backend, &self.settings.weights);
             }
             Outcome::Refused => backend.refused(now),
             // The instance may be gone and its prefix cache with it.
             Outcome::NoConnection | Outcome::Misdirected => backend.kept.clear(),
             _ => {}
         }
-        if backend.health.judge(verdict, send.trial, peers) {
-            self.eject(now, &send);
+        if backend.health.judge(verdict, attempt.trial, peers) {
+            self.eject(now, &attempt);
         }
     }
 
     /// Detects that this process was stalled, and then discounts the silence of all backends meanwhile.
     pub(crate) fn detect_stall(&mut self, now: Timestamp) {
-        if now.saturating_sub(self.last_call) > PROCESS_STALL && !self.sends.is_empty() {
+        if now.saturating_sub(self.last_call) > PROCESS_STALL && !self.attempts.is_empty() {
             self.resumed_at = now;
             self.backends.iter_mut().flatten().for_each(|backend| backend.resume(now));
         }
@@ -268,9 +272,10 @@
     }
 
     /// The mean failure rate of the other backends of the same service.
-    fn peer_failure_rate(&self, send: &Send) -> f64 {
-        let Some(service) = self.services.get(send.service as usize) else { return 0.0 };
-        let others = service.groups.whole.all.points().iter().filter(|point| point.backend != send.backend);
+    fn peer_failure_rate(&self, attempt: &Attempt) -> f64 {
+        let Some(service) = self.services.get(attempt.service as usize) else { return 0.0 };
+        let others =
+            service.groups.whole.all.points().iter().filter(|point| point.backend != attempt.backend);
         let rates = others.take(MAX_SAMPLED_PEERS).filter_map(|point| self.backend(point.backend));
         let (sum, count) =
             rates.fold((0.0, 0.0), |(sum, count), of| (sum + of.health.failure_rate(), count + 1.0));
@@ -278,14 +283,14 @@
     }
 
     /// Ejects a backend, unless half of its service is ejected already.
-    fn eject(&mut self, now: Timestamp, send: &Send) {
-        let Some(service) = self.services.get(send.service as usize) else { return };
+    fn eject(&mut self, now: Timestamp, attempt: &Attempt) {
+        let Some(service) = self.services.get(attempt.service as usize) else { return };
         let points = service.groups.whole.all.points();
         let ejected = |point: &&Point| self.backend(point.backend).is_some_and(|of| of.health.ejected());
         let ejected = points.iter().filter(ejected).count();
         let bound = points.len() / 2;
         let jitter = self.rng.f64();
-        let Some(backend) = self.backends.get_mut(send.backend.0 as usize).and_then(Option::as_mut) else {
+        let Some(backend) = self.backends.get_mut(attempt.backend.0 as usize).and_then(Option::as_mut) else {
             return;
         };
         if backend.health.ejected() || ejected < bound {
--- a/crates/dispatch/src/fit.rs
+++ b/crates/dispatch/src/fit.rs
@@ -1,148 +1,154 @@
-//! What a request would meet at a backend, and what going there costs: lateness, crossings, parts read again.
+//! The cost model of best fit: estimates the time to the first event and the cost of sending a request to a backend.
 
 use crate::backend::Backend;
 use crate::interface::{DispatchRequest, PromptPart, Timestamp};
 use crate::service::Service;
 use crate::weights::Weights;
 
-/// Bytes of an answer for each token of it, and those of heads.
-const ANSWER_BYTES: f64 = 9.0;
-const HEAD_BYTES: f64 = 600.0;
-/// Within this time of its last use, a part that is read again has a price.
-const AGAIN_MS: f64 = 10_000.0;
-/// The least of an objective that is taken to be left.
-const LEAST_LEFT_MS: f64 = 50.0;
-/// What a backend with nearly no room costs, and one past its places, in shares of worth.
-const ROOM: f64 = 0.1;
-const NO_PLACE: f64 = 2.0;
-/// Of an engine's memory, what may be filled by estimate.
-const MEMORY_SHARE: f64 = 0.9;
+/// Estimated response size in bytes: per token, and for headers.
+const RESPONSE_BYTES_PER_TOKEN: f64 = 9.0;
+const HEADER_BYTES: f64 = 600.0;
+/// A repeated prefill of a shared part costs extra if the part was last used within this time.
+const REUSE_WINDOW_MS: f64 = 10_000.0;
+/// The lower bound of the remaining latency objective.
+const MIN_REMAINING_OBJECTIVE_MS: f64 = 50.0;
+/// The cost of a nearly full backend and of one over capacity, as shares of the request's value.
+const OCCUPANCY_COST: f64 = 0.1;
+const OVER_CAPACITY_COST: f64 = 2.0;
+/// The share of an engine's KV cache that is considered usable, since its use is only estimated.
+const USABLE_MEMORY_SHARE: f64 = 0.9;
 
-/// A request and what weighs on its choice.
-pub(crate) struct Fit<'a> {
+/// Estimates the cost of sending one request to a backend.
+pub(crate) struct CostModel<'a> {
     pub now: Timestamp,
     pub request: &'a DispatchRequest<'a>,
     pub service: &'a Service,
     weights: &'a Weights,
-    /// Tokens of its shared parts.
+    /// The number of tokens in the shared prefix.
     shared_tokens: f64,
-    /// The chance that its last shared part was used lately, by this gateway or by others.
-    used_lately: f64,
+    /// The probability that the shared prefix was used recently, by this gateway or another.
+    reuse_probability: f64,
 }
 
-/// What a request would meet at a backend.
+/// The estimate for a request at one backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Expected {
-    /// Tokens that would be read.
+pub(crate) struct Estimate {
+    /// The number of prompt tokens that need prefill.
     pub unread: f64,
-    /// The time of its first event if it were alone there, and as it is.
-    pub alone_ms: f64,
-    pub first_ms: f64,
-    /// What going there costs, in shares of its worth.
+    /// The time to the first event on an unloaded backend and at the current load, in ms.
+    pub unloaded_ms: f64,
+    pub first_event_ms: f64,
+    /// The cost as a share of the request's value.
     pub cost: f64,
 }
 
-impl Expected {
-    /// What it would wait for what is there before it.
+impl Estimate {
+    /// The estimated wait for earlier requests.
     pub fn wait_ms(&self) -> f64 {
-        self.first_ms - self.alone_ms
+        self.first_event_ms - self.unloaded_ms
     }
 }
 
-/// The parts of a prompt that others may share: all but the request's own last one.
-pub(crate) fn shared<'a>(request: &DispatchRequest<'a>) -> &'a [PromptPart] {
+/// The prompt parts that other requests may share: all but the last, unless there is only one.
+pub(crate) fn shared_prefix<'a>(request: &DispatchRequest<'a>) -> &'a [PromptPart] {
     match request.parts {
         [] => &[],
         [_] => request.parts,
-        [shared @ .., _] => shared,
+        [prefix @ .., _] => prefix,
     }
 }
 
-impl<'a> Fit<'a> {
+impl<'a> CostModel<'a> {
     pub fn new(
         now: Timestamp,
         request: &'a DispatchRequest<'a>,
         service: &'a Service,
         weights: &'a Weights,
         last_used: Option<Timestamp>,
-    ) -> Fit<'a> {
-        let shared_tokens = shared(request).iter().map(|part| f64::from(part.tokens)).sum();
-        let lately = |used: Timestamp| now.saturating_sub(used).as_secs_f64() * 1e3 < AGAIN_MS;
-        let used_lately = if last_used.is_some_and(lately) { 1.0 } else { weights.shared_elsewhere };
-        Fit { now, request, service, weights, shared_tokens, used_lately }
+    ) -> CostModel<'a> {
+        let shared_tokens = shared_prefix(request).iter().map(|part| f64::from(part.tokens)).sum();
+        let recent = |used: Timestamp| now.saturating_sub(used).as_secs_f64() * 1e3 < REUSE_WINDOW_MS;
+        let reuse_probability = if last_used.is_some_and(recent) { 1.0 } else { weights.shared_elsewhere };
+        CostModel { now, request, service, weights, shared_tokens, reuse_probability }
     }
 
-    /// The share of the objective that a first event after this time takes, raised to a power.
-    fn lateness(&self, first_ms: f64) -> f64 {
+    /// The cost of a first event after this time: its share of the remaining objective, raised to a power.
+    fn latency_cost(&self, first_event_ms: f64) -> f64 {
         let objective = self.request.route.slo.saturating_sub(self.request.elapsed);
-        let left_ms = (objective.as_secs_f64() * 1e3).max(LEAST_LEFT_MS);
-        (first_ms / left_ms).powf(self.weights.lateness_power)
+        let left_ms = (objective.as_secs_f64() * 1e3).max(MIN_REMAINING_OBJECTIVE_MS);
+        (first_event_ms / left_ms).powf(self.weights.lateness_power)
     }
 
-    fn crossing(&self, backend: &Backend) -> f64 {
-        let answer = f64::from(self.request.response_tokens) * ANSWER_BYTES + HEAD_BYTES;
-        let kb = (f64::from(self.request.request_bytes) + answer) / 1e3;
-        if backend.near {
+    /// The cost of the request and response bytes that cross a zone boundary.
+    fn cross_zone_cost(&self, backend: &Backend) -> f64 {
+        let response = f64::from(self.request.response_tokens) * RESPONSE_BYTES_PER_TOKEN + HEADER_BYTES;
+        let kb = (f64::from(self.request.request_bytes) + response) / 1e3;
+        if backend.same_zone {
             0.0
         } else {
             kb * self.weights.crossing_per_kb
         }
     }
 
-    /// What the request would meet; `chance` is that that what isn't known to be kept is.
-    pub fn expected(&self, backend: &Backend, chance: f64) -> Expected {
+    /// Estimates the request at a backend. `cache_probability` is the probability that shared parts not known to be
+    /// cached there are cached nevertheless.
+    pub fn estimate(&self, backend: &Backend, cache_probability: f64) -> Estimate {
         let slowness = backend.slowness(self.now);
         if !self.service.is_engine() {
-            return self.expected_work(backend, slowness);
+            return self.estimate_without_prefill(backend, slowness);
         }
-        let kept = f64::from(backend.kept.kept_tokens(self.now, self.request.parts));
+        let kept = f64::from(backend.kept.cached_tokens(self.now, self.request.parts));
         let missing = (self.shared_tokens - kept).max(0.0);
-        let perhaps = missing * chance;
+        let likely_cached = missing * cache_probability;
         let prompt = f64::from(self.request.prompt_tokens).max(self.shared_tokens);
-        let unread = (prompt - kept - perhaps).max(0.0);
-        let usual_ms = self.service.usual_wait_ms(self.now);
-        let alone_ms = self.service.pace.first_ms(unread) * slowness;
-        let first_ms = alone_ms + backend.wait_ms(self.now, usual_ms, self.weights);
-        let again = (missing - perhaps) / 1e3 * self.weights.reread_per_k * self.used_lately;
-        let cost = self.lateness(first_ms)
-            + self.crossing(backend)
-            + again
+        let unread = (prompt - kept - likely_cached).max(0.0);
+        let baseline_ms = self.service.baseline_wait_ms(self.now);
+        let unloaded_ms = self.service.pace.first_event_ms(unread) * slowness;
+        let first_event_ms = unloaded_ms + backend.wait_ms(self.now, baseline_ms, self.weights);
+        let reprefill_cost =
+            (missing - likely_cached) / 1e3 * self.weights.reread_per_k * self.reuse_probability;
+        let cost = self.latency_cost(first_event_ms)
+            + self.cross_zone_cost(backend)
+            + reprefill_cost
             + self.taken(backend)
-            + self.stalled(backend, unread);
-        Expected { unread, alone_ms, first_ms, cost }
+            + self.stall_cost(backend, unread);
+        Estimate { unread, unloaded_ms, first_event_ms, cost }
     }
 
-    /// What the streams that run there lose by this prompt: past a time, reading holds up their events.
-    fn stalled(&self, backend: &Backend, unread: f64) -> f64 {
-        let reading_ms = self.service.pace.reading_ms(unread) * backend.slowness(self.now);
-        let held_ms = reading_ms + backend.own_wait_ms(self.now);
-        let share = (held_ms / self.weights.stall_ms - 0.5).clamp(0.0, 1.0);
-        share * (reading_ms / held_ms.max(1.0)) * backend.streams(self.now) * self.weights.stall
+    /// The cost to running streams: a long prefill delays their events.
+    fn stall_cost(&self, backend: &Backend, unread: f64) -> f64 {
+        let prefill_ms = self.service.pace.prefill_ms(unread) * backend.slowness(self.now);
+        let blocked_ms = prefill_ms + backend.own_prefill_wait_ms(self.now);
+        let share = (blocked_ms / self.weights.stall_ms - 0.5).clamp(0.0, 1.0);
+        share * (prefill_ms / blocked_ms.max(1.0)) * backend.active_streams(self.now) * self.weights.stall
     }
 
-    fn expected_work(&self, backend: &Backend, slowness: f64) -> Expected {
+    /// Estimates a request to a service that is not an inference engine and has no prefill.
+    fn estimate_without_prefill(&self, backend: &Backend, slowness: f64) -> Estimate {
         let slots = f64::from(backend.view.slots.max(1));
         let before = (backend.requests(self.now) + 1.0 - slots).max(0.0) / slots;
-        let alone_ms = self.service.pace.work_ms() * slowness;
-        let wait_ms = (alone_ms * before).max(backend.silence_ms(self.now) * self.weights.silence);
-        let first_ms = alone_ms + wait_ms;
-        let cost = self.lateness(first_ms) + self.crossing(backend) + self.taken(backend);
-        Expected { unread: 0.0, alone_ms, first_ms, cost }
+        let unloaded_ms = self.service.pace.response_ms() * slowness;
+        let wait_ms = (unloaded_ms * before).max(backend.silence_ms(self.now) * self.weights.silence);
+        let first_event_ms = unloaded_ms + wait_ms;
+        let cost = self.latency_cost(first_event_ms) + self.cross_zone_cost(backend) + self.taken(backend);
+        Estimate { unread: 0.0, unloaded_ms, first_event_ms, cost }
     }
 
-    /// What is taken of a backend's slots or memory: little counts for little, and past them one waits for ends.
+    /// The cost of the occupied slots or memory, whichever share is higher. It stays small at low occupancy; over
+    /// capacity a request has to wait for others to complete.
     fn taken(&self, backend: &Backend) -> f64 {
         let requests = backend.requests(self.now);
         let slots = f64::from(backend.view.slots.max(1));
-        let memory = self.service.view.engine.map_or(0.0, |engine| engine.kv_tokens as f64) * MEMORY_SHARE;
+        let memory =
+            self.service.view.engine.map_or(0.0, |engine| engine.kv_tokens as f64) * USABLE_MEMORY_SHARE;
         let own = f64::from(self.request.prompt_tokens) + f64::from(self.request.response_tokens);
         let tokens = requests * self.service.mean_tokens + own;
         let memory_taken = if memory > 0.0 && requests >= 1.0 { tokens / memory } else { 0.0 };
         let taken = memory_taken.max(requests / slots);
         if taken >= 1.0 {
-            NO_PLACE * taken
+            OVER_CAPACITY_COST * taken
         } else {
-            ROOM * taken.powi(4)
+            OCCUPANCY_COST * taken.powi(4)
         }
     }
 }
--- a/crates/dispatch/src/groups.rs
+++ b/crates/dispatch/src/groups.rs
@@ -22,20 +22,20 @@
     pub zone: Arc<str>,
     pub hash: u64,
     pub backend: BackendKey,
-    pub near: bool,
+    pub same_zone: bool,
 }
 
 /// Whose turn it is in a group: of its members in the own zone, and of all.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Turns {
-    pub near: Rotation,
+    pub same_zone: Rotation,
     pub all: Rotation,
 }
 
 /// The members of a group in the own zone, and all.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Group {
-    pub near: Circle,
+    pub same_zone: Circle,
     pub all: Circle,
     pub turns: Turns,
 }
@@ -43,9 +43,9 @@
 impl Group {
     fn of(members: &[Member], turns: Turns) -> Group {
         let point = |member: &Member| Point { hash: member.hash, backend: member.backend };
-        let near = members.iter().filter(|member| member.near).map(point).collect();
+        let same_zone = members.iter().filter(|member| member.same_zone).map(point).collect();
         let all = members.iter().map(point).collect();
-        Group { near: Circle::new(near), all: Circle::new(all), turns }
+        Group { same_zone: Circle::new(same_zone), all: Circle::new(all), turns }
     }
 }
 
@@ -111,7 +111,7 @@
     }
 
     /// A request came that adds so many units.
-    pub fn see(&mut self, now: Timestamp, kind: Kind, units: f64) {
+    pub fn observe(&mut self, now: Timestamp, kind: Kind, units: f64) {
         self.traffic[kind.index()] += units;
         self.requests += 1.0;
         // Until traffic is known a group is all; the first groups come soon after it begins.
@@ -129,7 +129,7 @@
     pub fn rebuild(&mut self, now: Timestamp, members: Vec<Member>, start: usize) {
         let members = interleaved(members);
         let rotation = Rotation::starting_at(start);
-        let turns = Turns { near: rotation, all: rotation };
+        let turns = Turns { same_zone: rotation, all: rotation };
         self.whole = Group::of(&members, turns);
         let due = self.due(now);
         let telling = self.requests >= telling_requests(members.len());
--- a/crates/dispatch/src/health.rs
+++ b/crates/dispatch/src/health.rs
@@ -33,11 +33,11 @@
 
 impl Verdict {
     /// `silent` is for how long nothing has come from the backend, if nothing has since the send began.
-    pub fn of(outcome: Outcome, silent: Option<Duration>, heard_lately: bool) -> Verdict {
+    pub fn of(outcome: Outcome, silent: Option<Duration>, responded_recently: bool) -> Verdict {
         match outcome {
             Outcome::Done => Verdict::Good,
             Outcome::BackendError | Outcome::Reset => Verdict::Bad,
-            Outcome::NoConnection if heard_lately => Verdict::Bad,
+            Outcome::NoConnection if responded_recently => Verdict::Bad,
             Outcome::NoConnection | Outcome::Misdirected => Verdict::Ruinous,
             Outcome::TimedOut if silent.is_none() => Verdict::Bad,
             Outcome::TimedOut => Verdict::Ruinous,
--- a/crates/dispatch/src/kinds.rs
+++ b/crates/dispatch/src/kinds.rs
@@ -1,15 +1,15 @@
-//! The four types of requests, by prompt and answer length, and what each adds to a backend's load.
-
-/// An answer's token against a prompt's: what the pages count for a request's size.
-const ANSWER_WEIGHT: f64 = 10.0;
-/// Where the bands are cut, in mean sizes of the service's requests.
-const CUTS: [f64; 3] = [0.5, 1.5, 4.0];
-/// Load units that a request of each type adds.
-const VALUES: [f64; 4] = [1.0, 2.0, 2.0, 3.0];
-/// Requests after which the mean size has settled.
-const SETTLED: f64 = 256.0;
-
-/// A type of request.
+//! The four request types, by prompt and response length, and the load units of each.
+
+/// The weight of a response token relative to a prompt token; the documented size formula uses the same value.
+const RESPONSE_TOKEN_WEIGHT: f64 = 10.0;
+/// The thresholds between size bands, as multiples of the service's mean request size.
+const BAND_THRESHOLDS: [f64; 3] = [0.5, 1.5, 4.0];
+/// The load units of a request of each type.
+const LOAD_UNITS: [f64; 4] = [1.0, 2.0, 2.0, 3.0];
+/// The number of requests after which the mean size becomes an exponential moving average.
+const MEAN_WINDOW: f64 = 256.0;
+
+/// A request type, ordered by size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Kind {
     Plain,
@@ -25,18 +25,18 @@
         self as usize
     }
 
-    /// What a request of this type adds.
+    /// The load units of a request of this type.
     pub fn value(self) -> f64 {
-        VALUES[self.index()]
+        LOAD_UNITS[self.index()]
     }
 }
 
-/// The size of a request.
+/// The size of a request in weighted tokens.
 pub(crate) fn size(prompt_tokens: f64, response_tokens: f64) -> f64 {
-    prompt_tokens + ANSWER_WEIGHT * response_tokens
+    prompt_tokens + RESPONSE_TOKEN_WEIGHT * response_tokens
 }
 
-/// Cuts a service's requests into bands by the mean of the sizes seen.
+/// Classifies a service's requests into size bands relative to their mean size.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Bands {
     mean: f64,
@@ -44,15 +44,15 @@
 }
 
 impl Bands {
-    pub fn see(&mut self, size: f64) {
-        self.seen = (self.seen + 1.0).min(SETTLED);
+    pub fn observe(&mut self, size: f64) {
+        self.seen = (self.seen + 1.0).min(MEAN_WINDOW);
         self.mean += (size - self.mean) / self.seen;
     }
 
-    /// The type of a request of this size; without hints all are plain.
+    /// The type of a request of this size. Without length hints the mean is 0 and all requests are plain.
     pub fn kind(&self, size: f64) -> Kind {
         let units = if self.mean > 0.0 { size / self.mean } else { 0.0 };
-        let band = CUTS.iter().filter(|cut| units >= **cut).count();
+        let band = BAND_THRESHOLDS.iter().filter(|cut| units >= **cut).count();
         Kind::ALL[band]
     }
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,6 +1,7 @@
 //! Backend selection for a gateway's requests. Performs no I/O and reads no clock; the caller passes in the time.
 
 mod admission;
+mod attempts;
 mod backend;
 mod choose;
 mod dispatcher;
@@ -13,7 +14,6 @@
 mod pace;
 mod prefix;
 mod rotation;
-mod sends;
 mod service;
 mod weights;
 
--- a/crates/dispatch/src/pace.rs
+++ b/crates/dispatch/src/pace.rs
@@ -5,7 +5,7 @@
 /// Before anything is learned.
 const TOKENS_PER_MS: f64 = 60.0;
 const OVERHEAD_MS: f64 = 12.0;
-const WORK_MS: f64 = 20.0;
+const INITIAL_RESPONSE_MS: f64 = 20.0;
 /// Prompts from this length on show the rate, those below it the overhead.
 const LONG_TOKENS: f64 = 1500.0;
 const SHORT_TOKENS: f64 = 400.0;
@@ -25,7 +25,7 @@
 }
 
 impl Quantile {
-    fn see(&mut self, observed: f64, quantile: f64, bounds: (f64, f64)) {
+    fn observe(&mut self, observed: f64, quantile: f64, bounds: (f64, f64)) {
         // The first few move it farther, so that a wrong guess is soon left.
         self.seen = self.seen.saturating_add(1);
         let step = STEP * (1.0 + 8.0 / f64::from(self.seen).sqrt());
@@ -36,77 +36,77 @@
 
 /// What a service's backends need for a request, all else idle.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ServicePace {
+pub(crate) struct LatencyModel {
     rate: Quantile,
     overhead: Quantile,
-    work_ms: f64,
+    response_ms: f64,
 }
 
-impl Default for ServicePace {
-    fn default() -> ServicePace {
-        ServicePace {
+impl Default for LatencyModel {
+    fn default() -> LatencyModel {
+        LatencyModel {
             rate: Quantile { value: TOKENS_PER_MS, seen: 0 },
             overhead: Quantile { value: OVERHEAD_MS, seen: 0 },
-            work_ms: WORK_MS,
+            response_ms: INITIAL_RESPONSE_MS,
         }
     }
 }
 
-impl ServicePace {
+impl LatencyModel {
     /// The time until the first event of a prompt of which so much must be read.
-    pub fn first_ms(&self, unread_tokens: f64) -> f64 {
+    pub fn first_event_ms(&self, unread_tokens: f64) -> f64 {
         self.overhead.value + unread_tokens / self.rate.value
     }
 
     /// The time that reading takes.
-    pub fn reading_ms(&self, unread_tokens: f64) -> f64 {
+    pub fn prefill_ms(&self, unread_tokens: f64) -> f64 {
         unread_tokens / self.rate.value
     }
 
     /// The usual time of an answer where nothing is read.
-    pub fn work_ms(&self) -> f64 {
-        self.work_ms
+    pub fn response_ms(&self) -> f64 {
+        self.response_ms
     }
 
     /// A first event came after this time, the prompt the only one of ours that waited there.
-    pub fn see_first(&mut self, unread_tokens: f64, took_ms: f64) {
+    pub fn observe_first_event(&mut self, unread_tokens: f64, took_ms: f64) {
         if unread_tokens >= LONG_TOKENS {
-            let reading_ms = (took_ms - self.overhead.value).max(1.0);
-            self.rate.see(unread_tokens / reading_ms, RATE_QUANTILE, RATE_BOUNDS);
+            let prefill_ms = (took_ms - self.overhead.value).max(1.0);
+            self.rate.observe(unread_tokens / prefill_ms, RATE_QUANTILE, RATE_BOUNDS);
         } else if unread_tokens <= SHORT_TOKENS {
             let overhead_ms = (took_ms - unread_tokens / self.rate.value).max(0.1);
-            self.overhead.see(overhead_ms, OVERHEAD_QUANTILE, OVERHEAD_BOUNDS);
+            self.overhead.observe(overhead_ms, OVERHEAD_QUANTILE, OVERHEAD_BOUNDS);
         }
     }
 
     /// A whole answer came after this time.
-    pub fn see_work(&mut self, took_ms: f64) {
-        self.work_ms += (took_ms - self.work_ms) * STEP;
+    pub fn observe_response(&mut self, took_ms: f64) {
+        self.response_ms += (took_ms - self.response_ms) * STEP;
     }
 }
 
 /// A mean that forgets with time: it falls back to what is usual.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Fading {
+pub(crate) struct DecayingMean {
     value: f64,
     at: Timestamp,
     tau_ms: f64,
 }
 
-impl Fading {
-    pub fn new(value: f64, tau_ms: f64) -> Fading {
-        Fading { value, at: Timestamp::ZERO, tau_ms }
+impl DecayingMean {
+    pub fn new(value: f64, tau_ms: f64) -> DecayingMean {
+        DecayingMean { value, at: Timestamp::ZERO, tau_ms }
     }
 
     /// The value now, where `usual` is what it fades to.
-    pub fn value(&self, now: Timestamp, usual: f64) -> f64 {
+    pub fn value(&self, now: Timestamp, baseline: f64) -> f64 {
         let age_ms = now.saturating_sub(self.at).as_secs_f64() * 1e3;
-        usual + (self.value - usual) * (-age_ms / self.tau_ms).exp()
+        baseline + (self.value - baseline) * (-age_ms / self.tau_ms).exp()
     }
 
     /// An observation that counts for `share` of the new value.
-    pub fn see(&mut self, now: Timestamp, usual: f64, observed: f64, share: f64) {
-        let value = self.value(now, usual);
+    pub fn observe(&mut self, now: Timestamp, baseline: f64, observed: f64, share: f64) {
+        let value = self.value(now, baseline);
         self.value = value + (observed - value) * share;
         self.at = now;
     }
--- a/crates/dispatch/src/prefix.rs
+++ b/crates/dispatch/src/prefix.rs
@@ -26,7 +26,7 @@
 
 impl PrefixCache {
     /// Tokens at the prompt's start that need not be read.
-    pub fn kept_tokens(&self, now: Timestamp, parts: &[PromptPart]) -> u32 {
+    pub fn cached_tokens(&self, now: Timestamp, parts: &[PromptPart]) -> u32 {
         let kept = |part: &&PromptPart| self.parts.get(&part.id).is_some_and(|of| now < of.used + KEPT_FOR);
         parts.iter().take_while(kept).fold(0, |sum, part| sum.saturating_add(part.tokens))
     }
--- a/crates/dispatch/tests/unit/groups.rs
+++ b/crates/dispatch/tests/unit/groups.rs
@@ -9,7 +9,7 @@
         zone: ["a", "b", "c"][index as usize % 3].into(),
         hash: hash_id(&format!("i-{index}")),
         backend: BackendKey(index),
-        near: index.is_multiple_of(3),
+        same_zone: index.is_multiple_of(3),
     };
     (0..count).map(member).collect()
 }
@@ -20,7 +20,7 @@
 fn dealt(count: u32, traffic: [f64; 4]) -> Groups {
     let mut groups = Groups::default();
     for (kind, units) in Kind::ALL.into_iter().zip(traffic).filter(|(_, units)| *units > 0.0) {
-        (0..REQUESTS).for_each(|_| groups.see(Duration::ZERO, kind, units / f64::from(REQUESTS)));
+        (0..REQUESTS).for_each(|_| groups.observe(Duration::ZERO, kind, units / f64::from(REQUESTS)));
     }
     groups.rebuild(Duration::from_secs(2), members(count), 0);
     groups
@@ -62,7 +62,7 @@
 fn a_group_of_some_size_reaches_every_zone() {
     let groups = dealt(12, [1.0, 0.0, 1.0, 0.0]);
     for kind in [Kind::Plain, Kind::LongAnswer] {
-        assert_eq!(groups.of(kind).near.points().len(), 2);
+        assert_eq!(groups.of(kind).same_zone.points().len(), 2);
     }
 }
 
@@ -79,7 +79,7 @@
 fn periods_are_two_seconds_and_then_thirty() {
     let mut groups = Groups::default();
     assert!(!groups.due(Duration::from_secs(100)));
-    (0..3).for_each(|_| groups.see(Duration::from_secs(100), Kind::Plain, 1.0));
+    (0..3).for_each(|_| groups.observe(Duration::from_secs(100), Kind::Plain, 1.0));
     assert!(!groups.due(Duration::from_millis(101_900)));
     assert!(groups.due(Duration::from_secs(102)));
     groups.rebuild(Duration::from_secs(102), members(3), 0);
@@ -91,18 +91,18 @@
 #[test]
 fn few_requests_deal_no_groups_among_many_backends() {
     let mut groups = Groups::default();
-    let see = |groups: &mut Groups, count: u32, at: u64| {
+    let observe = |groups: &mut Groups, count: u32, at: u64| {
         for request in 0..count {
             let kind = if request % 3 == 0 { Kind::Both } else { Kind::Plain };
-            groups.see(Duration::from_secs(at), kind, kind.value());
+            groups.observe(Duration::from_secs(at), kind, kind.value());
         }
     };
-    see(&mut groups, 200, 0);
+    observe(&mut groups, 200, 0);
     groups.rebuild(Duration::from_secs(2), members(60), 0);
     assert_eq!(sizes(&groups), [60; 4]);
     assert_eq!(groups.homes(Kind::Plain).all.points().len(), 60);
     assert!(groups.due(Duration::from_secs(4)), "looked at again soon, with all that was seen");
-    see(&mut groups, 600, 3);
+    observe(&mut groups, 600, 3);
     groups.rebuild(Duration::from_secs(4), members(60), 0);
     let [light, _, _, heavy] = sizes(&groups);
     assert_eq!(light + heavy, 60);
--- a/crates/dispatch/tests/unit/kinds.rs
+++ b/crates/dispatch/tests/unit/kinds.rs
@@ -3,7 +3,7 @@
 #[test]
 fn bands_are_cut_by_the_mean_size() {
     let mut bands = Bands::default();
-    (0..100).for_each(|_| bands.see(size(900.0, 10.0)));
+    (0..100).for_each(|_| bands.observe(size(900.0, 10.0)));
     let kinds = [100.0, 499.0, 501.0, 1499.0, 1501.0, 3999.0, 4001.0, 60_000.0].map(|size| bands.kind(size));
     use Kind::*;
     assert_eq!(kinds, [Plain, Plain, LongPrompt, LongPrompt, LongAnswer, LongAnswer, Both, Both]);
@@ -12,7 +12,7 @@
 #[test]
 fn without_hints_all_are_plain() {
     let mut bands = Bands::default();
-    bands.see(size(0.0, 0.0));
+    bands.observe(size(0.0, 0.0));
     assert_eq!(bands.kind(0.0), Kind::Plain);
 }
 
--- a/crates/dispatch/tests/unit/pace.rs
+++ b/crates/dispatch/tests/unit/pace.rs
@@ -1,14 +1,14 @@
-use super::{Fading, ServicePace};
+use super::{DecayingMean, LatencyModel};
 use std::time::Duration;
 
 /// First events as an engine of this pace gives them, now and then behind others' prompts.
-fn learned(tokens_per_ms: f64, overhead_ms: f64) -> ServicePace {
-    let mut pace = ServicePace::default();
+fn learned(tokens_per_ms: f64, overhead_ms: f64) -> LatencyModel {
+    let mut pace = LatencyModel::default();
     let mut rng = fastrand::Rng::with_seed(4);
     for turn in 0..600 {
         let tokens = if turn % 2 == 0 { 100.0 + 200.0 * rng.f64() } else { 2000.0 + 8000.0 * rng.f64() };
         let behind_ms = if rng.f64() < 0.3 { 150.0 * rng.f64() } else { 0.0 };
-        pace.see_first(tokens, overhead_ms + tokens / tokens_per_ms + behind_ms);
+        pace.observe_first_event(tokens, overhead_ms + tokens / tokens_per_ms + behind_ms);
     }
     pace
 }
@@ -17,24 +17,24 @@
 fn the_rate_and_the_overhead_are_learned_through_the_noise() {
     for (tokens_per_ms, overhead_ms) in [(100.0, 9.0), (62.0, 8.0), (20.0, 30.0)] {
         let pace = learned(tokens_per_ms, overhead_ms);
-        let rate = 10_000.0 / pace.reading_ms(10_000.0);
+        let rate = 10_000.0 / pace.prefill_ms(10_000.0);
         assert!((rate / tokens_per_ms - 1.0).abs() < 0.25, "{rate} for {tokens_per_ms}");
-        let overhead = pace.first_ms(0.0);
+        let overhead = pace.first_event_ms(0.0);
         assert!((overhead / overhead_ms - 1.0).abs() < 0.5, "{overhead} for {overhead_ms}");
     }
 }
 
 #[test]
 fn work_follows_what_answers_take() {
-    let mut pace = ServicePace::default();
-    (0..200).for_each(|_| pace.see_work(60.0));
-    assert!((pace.work_ms() - 60.0).abs() < 1.0);
+    let mut pace = LatencyModel::default();
+    (0..200).for_each(|_| pace.observe_response(60.0));
+    assert!((pace.response_ms() - 60.0).abs() < 1.0);
 }
 
 #[test]
 fn a_fading_mean_falls_back_to_what_is_usual() {
-    let mut wait = Fading::new(0.0, 500.0);
-    wait.see(Duration::from_secs(1), 20.0, 220.0, 1.0);
+    let mut wait = DecayingMean::new(0.0, 500.0);
+    wait.observe(Duration::from_secs(1), 20.0, 220.0, 1.0);
     assert!((wait.value(Duration::from_secs(1), 20.0) - 220.0).abs() < 1e-6);
     let later = wait.value(Duration::from_millis(1500), 20.0);
     assert!((later - (20.0 + 200.0 / std::f64::consts::E)).abs() < 1e-6, "{later}");
--- a/crates/dispatch/tests/unit/prefix.rs
+++ b/crates/dispatch/tests/unit/prefix.rs
@@ -14,8 +14,8 @@
 fn a_part_counts_only_if_all_before_it_are_kept() {
     let mut cache = PrefixCache::default();
     cache.sent(at(0), &parts(&[1, 2, 3]), 10_000);
-    assert_eq!(cache.kept_tokens(at(1), &parts(&[1, 2, 9])), 200);
-    assert_eq!(cache.kept_tokens(at(1), &parts(&[9, 2, 3])), 0);
+    assert_eq!(cache.cached_tokens(at(1), &parts(&[1, 2, 9])), 200);
+    assert_eq!(cache.cached_tokens(at(1), &parts(&[9, 2, 3])), 0);
 }
 
 #[test]
@@ -25,7 +25,7 @@
     cache.sent(at(1), &parts(&[2]), 300);
     cache.sent(at(2), &parts(&[1]), 300);
     cache.sent(at(3), &parts(&[3, 4]), 300);
-    let kept = |id| cache.kept_tokens(at(4), &parts(&[id]));
+    let kept = |id| cache.cached_tokens(at(4), &parts(&[id]));
     assert_eq!([kept(1), kept(2), kept(3), kept(4)], [100, 0, 100, 100]);
 }
 
@@ -33,8 +33,8 @@
 fn what_was_sent_long_ago_is_not_believed_in() {
     let mut cache = PrefixCache::default();
     cache.sent(at(0), &parts(&[1]), 10_000);
-    assert_eq!(cache.kept_tokens(at(59), &parts(&[1])), 100);
-    assert_eq!(cache.kept_tokens(at(61), &parts(&[1])), 0);
+    assert_eq!(cache.cached_tokens(at(59), &parts(&[1])), 100);
+    assert_eq!(cache.cached_tokens(at(61), &parts(&[1])), 0);
 }
 
 #[test]
