--- a/crates/dispatch/src/choose.rs
+++ b/crates/dispatch/src/choose.rs
@@ -1,4 +1,5 @@
-//! The choice: the type's group, its rotation while it is light, else the best fit; kept parts first of all.
+//! Backend selection: rotation within the type's group while it is lightly loaded, otherwise best fit over all
+//! candidates. Requests with prefix affinity always use best fit.
 
 use crate::admission::refused;
 use crate::backend::Backend;
@@ -8,58 +9,59 @@
 use crate::kinds::Kind;
 use std::time::Duration;
 
-/// Candidates weighed for one request: of the own zone, and of all.
-const CANDIDATES: usize = 16;
-/// When to come again where this gateway's connections are all in use.
-const CONNECTIONS_RETRY: Duration = Duration::from_millis(250);
+/// The maximum number of candidates taken from each list.
+const MAX_CANDIDATES: usize = 16;
+/// The retry delay if this gateway's connections to all candidates are in use.
+const CONNECTION_LIMIT_RETRY: Duration = Duration::from_millis(250);
 
-/// A backend that is weighed for a request.
+/// A backend considered for a request.
 #[derive(Clone, Copy)]
 struct Candidate {
     key: BackendKey,
-    /// The chance that it keeps shared parts that this gateway hasn't sent there.
+    /// The probability that it has cached shared parts that this gateway did not send there.
     kept: f64,
-    /// What it costs more than others, in shares of the request's worth.
+    /// The additional cost as a share of the request's value.
     penalty: f64,
 }
 
-/// A backend and what the request would meet there.
+/// A selected backend with the estimate for the request.
 #[derive(Clone, Copy)]
-struct Found {
+struct Selection {
     key: BackendKey,
     estimate: Estimate,
 }
 
 impl Dispatcher {
-    /// The backend for a request, or why there is none.
+    /// Selects the backend for a request, or returns why none is available.
     pub fn choose(&mut self, now: Timestamp, request: &DispatchRequest) -> Choice {
         self.detect_stall(now);
         let Some(index) = self.service_index(request.service) else { return Choice::NoBackend };
-        if self.services[index].groups.due(now) {
+        if self.services[index].groups.rebuild_due(now) {
             self.regroup(now, index);
         }
         let kind = self.services[index].kind(request);
         let part = shared_prefix(request).last().filter(|_| request.route.sticky).map(|part| part.id);
-        let drawn = self.rng.u64(..);
-        // A part that stands alone may be the request's own and never come again.
-        let shares = match (part, request.parts.len()) {
+        let random_key = self.rng.u64(..);
+        // A single part may be private to the request and never be repeated.
+        let sharing_likelihood = match (part, request.parts.len()) {
             (None, _) => 0.0,
             (_, 1) => 0.5,
             _ => 1.0,
         };
-        let candidates = self.candidates(index, kind, part.unwrap_or(drawn), shares);
-        let light = part.is_none() && self.light(now, index, &candidates);
-        let rotated = if light { self.rotated(now, index, kind, request) } else { None };
-        let found = rotated.or_else(|| self.best(now, index, request, &candidates, part));
-        let Some(found) = found else { return self.none(request, &candidates) };
-        self.answer(now, index, request, found, part)
+        let candidates = self.candidates(index, kind, part.unwrap_or(random_key), sharing_likelihood);
+        let rotate = part.is_none() && self.lightly_loaded(now, index, &candidates);
+        let next_in_rotation = if rotate { self.next_in_rotation(now, index, kind, request) } else { None };
+        let found = next_in_rotation.or_else(|| self.best_fit(now, index, request, &candidates, part));
+        let Some(found) = found else { return self.no_candidate(request, &candidates) };
+        self.admit(now, index, request, found, part)
     }
 
-    /// The type's group before all others. A key's first backends, in the own zone and of all, are the same for
-    /// all its requests but the heaviest, whatever their types: what they share is kept there.
-    fn candidates(&self, index: usize, kind: Kind, key: u64, shares: f64) -> Vec<Candidate> {
+    /// Collects the candidates, those of the type's group before all others. A key's home backends, one in this
+    /// gateway's zone and one over all zones, are the same for all request types but the heaviest, so that requests
+    /// with a common prefix share one cached copy.
+    fn candidates(&self, index: usize, kind: Kind, key: u64, sharing_likelihood: f64) -> Vec<Candidate> {
         let groups = &self.services[index].groups;
-        let (group, homes, whole) = (groups.of(kind), groups.homes(kind), &groups.whole);
+        let (group, homes, whole) = (groups.group(kind), groups.home_group(kind), &groups.whole);
         let weights = &self.settings.weights;
         let lists = [
             (&group.same_zone, 0.0, None),
@@ -69,14 +71,14 @@
             (&whole.same_zone, weights.foreign, None),
             (&whole.all, weights.foreign, None),
         ];
-        let mut keys = Vec::with_capacity(CANDIDATES);
-        let mut candidates: Vec<Candidate> = Vec::with_capacity(lists.len() * CANDIDATES);
+        let mut keys = Vec::with_capacity(MAX_CANDIDATES);
+        let mut candidates: Vec<Candidate> = Vec::with_capacity(lists.len() * MAX_CANDIDATES);
         for (circle, penalty, kept) in lists {
             keys.clear();
-            circle.candidates(key, CANDIDATES, &mut keys);
+            circle.candidates(key, MAX_CANDIDATES, &mut keys);
             for (rank, key) in keys.iter().enumerate() {
-                let kept = if rank == 0 { kept.unwrap_or(0.0) * shares } else { 0.0 };
-                // Lists come by rising penalty: what is there already stays.
+                let kept = if rank == 0 { kept.unwrap_or(0.0) * sharing_likelihood } else { 0.0 };
+                // The lists are ordered by penalty, so an existing entry already has the lowest one.
                 match candidates.iter_mut().find(|of| of.key == *key) {
                     Some(known) => known.kept = known.kept.max(kept),
                     None => candidates.push(Candidate { key: *key, kept, penalty }),
@@ -86,8 +88,8 @@
         candidates
     }
 
-    /// Whether the group's mean load is at most a tenth of its mean maximum.
-    fn light(&self, now: Timestamp, index: usize, candidates: &[Candidate]) -> bool {
+    /// Whether the group's load is at most `Weights::light` (0.1 by default) of its capacity.
+    fn lightly_loaded(&self, now: Timestamp, index: usize, candidates: &[Candidate]) -> bool {
         let value = self.services[index].mean_load_units;
         let group = candidates.iter().filter(|of| of.penalty <= 0.0).filter_map(|of| self.backend(of.key));
         let (load, max) = group.fold((0.0, 0.0), |(load, max), backend| {
@@ -96,52 +98,54 @@
         load <= max * self.settings.weights.light
     }
 
+    /// The backend if it is below the connection limit and was not tried before.
     fn usable(&self, key: BackendKey, request: &DispatchRequest, bound: u32) -> Option<&Backend> {
         let backend = self.backend(key)?;
         (backend.in_flight < bound && !request.tried.contains(&key)).then_some(backend)
     }
 
-    /// The next of a light group, of its own zone's members where one of them may be used.
-    fn rotated(
+    /// The next usable backend of a lightly loaded group, preferring this gateway's zone.
+    fn next_in_rotation(
         &mut self,
         now: Timestamp,
         index: usize,
         kind: Kind,
         request: &DispatchRequest,
-    ) -> Option<Found> {
+    ) -> Option<Selection> {
         let bound = self.services[index].max_connections_per_backend(self.gateways);
         let idempotent = request.route.idempotent;
-        // Few load units may yet be long prompts: one that waits as long is not light.
-        let bears_ms = request.route.slo.as_secs_f64() * 1e3 * self.settings.weights.light;
+        // Few load units can still mean long prompts, so backends with a long estimated wait are skipped.
+        let max_wait_ms = request.route.slo.as_secs_f64() * 1e3 * self.settings.weights.light;
         let fit = CostModel::new(now, request, &self.services[index], &self.settings.weights, None);
         let usable = |key: BackendKey| {
             let backend = self.usable(key, request, bound).filter(|backend| backend.open(now, idempotent));
-            backend.is_some_and(|backend| fit.estimate(backend, 0.0).wait_ms() <= bears_ms)
+            backend.is_some_and(|backend| fit.estimate(backend, 0.0).wait_ms() <= max_wait_ms)
         };
-        let group = self.services[index].groups.of(kind);
+        let group = self.services[index].groups.group(kind);
         let mut turns = group.turns;
         let same_zone = turns.same_zone.next(group.same_zone.points(), usable);
         let key = same_zone.or_else(|| turns.all.next(group.all.points(), usable))?;
         let estimate = fit.estimate(self.backend(key)?, 0.0);
-        self.services[index].groups.of_mut(kind).turns = turns;
-        Some(Found { key, estimate })
+        self.services[index].groups.group_mut(kind).turns = turns;
+        Some(Selection { key, estimate })
     }
 
-    /// The candidate that costs least; ties are drawn. Those that fail or are full only where no other is left.
-    fn best(
+    /// The candidate with the lowest cost; ties are broken at random. Ejected and refusing backends are used only if no
+    /// other candidate is left.
+    fn best_fit(
         &mut self,
         now: Timestamp,
         index: usize,
         request: &DispatchRequest,
         candidates: &[Candidate],
         part: Option<u64>,
-    ) -> Option<Found> {
+    ) -> Option<Selection> {
         let bound = self.services[index].max_connections_per_backend(self.gateways);
         let last_used = part.and_then(|part| self.last_prefix_use(part));
         let mut rng = self.rng.fork();
         let fit = CostModel::new(now, request, &self.services[index], &self.settings.weights, last_used);
         for open in [true, false] {
-            let mut best: Option<Found> = None;
+            let mut best: Option<Selection> = None;
             let mut ties = 1;
             for candidate in candidates {
                 let Some(backend) = self.usable(candidate.key, request, bound) else { continue };
@@ -150,15 +154,15 @@
                 }
                 let mut estimate = fit.estimate(backend, candidate.kept);
                 estimate.cost += candidate.penalty;
-                let least = best.map_or(f64::INFINITY, |best| best.estimate.cost);
-                let tied = estimate.cost == least && best.is_some_and(|best| best.key != candidate.key);
+                let min_cost = best.map_or(f64::INFINITY, |best| best.estimate.cost);
+                let tied = estimate.cost == min_cost && best.is_some_and(|best| best.key != candidate.key);
                 if tied {
                     ties += 1;
-                } else if estimate.cost < least {
+                } else if estimate.cost < min_cost {
                     ties = 1;
                 }
-                if estimate.cost < least || tied && rng.u32(0..ties) == 0 {
-                    best = Some(Found { key: candidate.key, estimate });
+                if estimate.cost < min_cost || tied && rng.u32(0..ties) == 0 {
+                    best = Some(Selection { key: candidate.key, estimate });
                 }
             }
             if best.is_some() {
@@ -168,20 +172,22 @@
         None
     }
 
-    fn none(&self, request: &DispatchRequest, candidates: &[Candidate]) -> Choice {
+    /// The result if no candidate can be used: `Full` if only connection limits rule them out.
+    fn no_candidate(&self, request: &DispatchRequest, candidates: &[Candidate]) -> Choice {
         if candidates.iter().any(|of| self.usable(of.key, request, u32::MAX).is_some()) {
-            Choice::Full { retry_after: CONNECTIONS_RETRY }
+            Choice::Full { retry_after: CONNECTION_LIMIT_RETRY }
         } else {
             Choice::NoBackend
         }
     }
 
-    fn answer(
+    /// Applies admission control to the selected backend.
+    fn admit(
         &self,
         now: Timestamp,
         index: usize,
         request: &DispatchRequest,
-        found: Found,
+        found: Selection,
         part: Option<u64>,
     ) -> Choice {
         let Some(backend) = self.backend(found.key) else { return Choice::NoBackend };
--- a/crates/dispatch/src/groups.rs
+++ b/crates/dispatch/src/groups.rs
@@ -1,4 +1,5 @@
-//! Server groups: each type with recent traffic gets a share of its service's backends by its share of the load.
+//! Backend groups: each request type with recent traffic gets a share of the service's backends in proportion to its
+//! share of the load.
 
 use crate::hash::{Circle, Point};
 use crate::interface::{BackendKey, Timestamp};
@@ -7,16 +8,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const PERIOD: Duration = Duration::from_secs(30);
-const FIRST_PERIOD: Duration = Duration::from_secs(2);
-/// Of the traffic of a period, what counts in the next.
-const KEPT_TRAFFIC: f64 = 0.5;
-/// How far a group's bound may be off by chance before groups are dealt, in backends.
-const BOUND_ERROR: f64 = 2.0;
-/// The standard deviation of a share drawn once, at the most: that of a half.
-const MOST_DEVIATION: f64 = 0.5;
+const REBUILD_INTERVAL: Duration = Duration::from_secs(30);
+const INITIAL_REBUILD_INTERVAL: Duration = Duration::from_secs(2);
+/// The factor by which recorded traffic decays from one rebuild interval to the next.
+const TRAFFIC_DECAY: f64 = 0.5;
+/// The sampling error, in backends, that a group boundary may have for backends to be partitioned.
+const MAX_BOUNDARY_ERROR: f64 = 2.0;
+/// The maximum standard deviation of a single observation of a share, reached at a share of one half.
+const MAX_SHARE_DEVIATION: f64 = 0.5;
 
-/// A backend that may be dealt to a group.
+/// A backend that can be assigned to a group.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Member {
     pub zone: Arc<str>,
@@ -25,23 +26,23 @@
     pub same_zone: bool,
 }
 
-/// Whose turn it is in a group: of its members in the own zone, and of all.
+/// The round-robin positions of a group: among its members in this gateway's zone, and among all.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Turns {
+pub(crate) struct Rotations {
     pub same_zone: Rotation,
     pub all: Rotation,
 }
 
-/// The members of a group in the own zone, and all.
+/// The members of a group: those in this gateway's zone, and all.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Group {
     pub same_zone: Circle,
     pub all: Circle,
-    pub turns: Turns,
+    pub turns: Rotations,
 }
 
 impl Group {
-    fn of(members: &[Member], turns: Turns) -> Group {
+    fn new(members: &[Member], turns: Rotations) -> Group {
         let point = |member: &Member| Point { hash: member.hash, backend: member.backend };
         let same_zone = members.iter().filter(|member| member.same_zone).map(point).collect();
         let all = members.iter().map(point).collect();
@@ -52,38 +53,41 @@
 /// The groups of one service.
 #[derive(Debug, Default)]
 pub(crate) struct Groups {
-    /// All backends that are ready.
+    /// All eligible backends.
     pub whole: Group,
     by_kind: [Group; 4],
-    /// All but those of the heaviest type.
-    light: Group,
+    /// All backends outside the group of the heaviest type.
+    without_heaviest: Group,
+    /// Recent load per type, decayed by `TRAFFIC_DECAY` whenever a rebuild is due and partitions the backends.
     traffic: [f64; 4],
-    /// Requests in that traffic.
+    /// The number of requests in `traffic`, decayed likewise.
     requests: f64,
     rebuild_at: Option<Timestamp>,
 }
 
-/// The requests from which shares are known well enough to deal so many backends. Gateways see traffic of their own
-/// each: from fewer, their groups would differ, and a key would have other homes at each of them.
-fn telling_requests(backends: usize) -> f64 {
-    (backends as f64 * MOST_DEVIATION / BOUND_ERROR).powi(2)
+/// The number of requests needed to partition this many backends. Each gateway estimates the shares from its own
+/// traffic: with fewer requests the groups of the gateways would differ, and a key would have different home backends
+/// at each of them.
+fn min_requests_for_partition(backends: usize) -> f64 {
+    (backends as f64 * MAX_SHARE_DEVIATION / MAX_BOUNDARY_ERROR).powi(2)
 }
 
-/// Backends so that neighbours are of different zones, in an order that all gateways find.
-fn interleaved(mut members: Vec<Member>) -> Vec<Member> {
+/// Orders backends so that neighbours are in different zones. All gateways compute the same order.
+fn interleave_zones(mut members: Vec<Member>) -> Vec<Member> {
     members.sort();
-    let mut place = 0;
+    let mut rank_in_zone = 0;
     let mut ranked: Vec<(u32, Member)> = Vec::with_capacity(members.len());
     for (index, member) in members.iter().enumerate() {
-        place = if index > 0 && members[index - 1].zone == member.zone { place + 1 } else { 0 };
-        ranked.push((place, member.clone()));
+        rank_in_zone = if index > 0 && members[index - 1].zone == member.zone { rank_in_zone + 1 } else { 0 };
+        ranked.push((rank_in_zone, member.clone()));
     }
-    ranked.sort_by_key(|(place, member)| (*place, member.hash));
+    ranked.sort_by_key(|(rank_in_zone, member)| (*rank_in_zone, member.hash));
     ranked.into_iter().map(|(_, member)| member).collect()
 }
 
 impl Groups {
-    pub fn of(&self, kind: Kind) -> &Group {
+    /// The group of a type; all backends if the type has no group.
+    pub fn group(&self, kind: Kind) -> &Group {
         let group = &self.by_kind[kind.index()];
         if group.all.is_empty() {
             &self.whole
@@ -92,16 +96,18 @@
         }
     }
 
-    /// Where the homes of a type's keys lie: the heaviest requests keep to their group, the others out of it.
-    pub fn homes(&self, kind: Kind) -> &Group {
+    /// The group that holds the home backends of a type's keys: the heaviest type uses its own group, all other types
+    /// use the backends outside it.
+    pub fn home_group(&self, kind: Kind) -> &Group {
         match kind {
-            Kind::Both => self.of(kind),
-            _ if self.light.all.is_empty() => &self.whole,
-            _ => &self.light,
+            Kind::Both => self.group(kind),
+            _ if self.without_heaviest.all.is_empty() => &self.whole,
+            _ => &self.without_heaviest,
         }
     }
 
-    pub fn of_mut(&mut self, kind: Kind) -> &mut Group {
+    /// Mutable access to the group of a type.
+    pub fn group_mut(&mut self, kind: Kind) -> &mut Group {
         let group = &mut self.by_kind[kind.index()];
         if group.all.is_empty() {
             &mut self.whole
@@ -110,54 +116,55 @@
         }
     }
 
-    /// A request came that adds so many units.
+    /// Records a request that adds `units` to the load of its type.
     pub fn observe(&mut self, now: Timestamp, kind: Kind, units: f64) {
         self.traffic[kind.index()] += units;
         self.requests += 1.0;
-        // Until traffic is known a group is all; the first groups come soon after it begins.
+        // Until traffic is known every group contains all backends; the first rebuild follows soon after traffic starts.
         if self.rebuild_at.is_none() {
-            self.rebuild_at = Some(now + FIRST_PERIOD);
+            self.rebuild_at = Some(now + INITIAL_REBUILD_INTERVAL);
         }
     }
 
-    /// Whether the groups are due to be rebuilt.
-    pub fn due(&self, now: Timestamp) -> bool {
+    /// Whether the rebuild interval has elapsed.
+    pub fn rebuild_due(&self, now: Timestamp) -> bool {
         self.rebuild_at.is_some_and(|at| now >= at)
     }
 
-    /// Deals the backends that are ready to the types; rotations go on from `start`.
+    /// Partitions the eligible backends among the types; rotations continue from `start`.
     pub fn rebuild(&mut self, now: Timestamp, members: Vec<Member>, start: usize) {
-        let members = interleaved(members);
+        let members = interleave_zones(members);
         let rotation = Rotation::starting_at(start);
-        let turns = Turns { same_zone: rotation, all: rotation };
-        self.whole = Group::of(&members, turns);
-        let due = self.due(now);
-        let telling = self.requests >= telling_requests(members.len());
-        if !telling {
-            self.undeal();
-        } else if due || self.by_kind.iter().any(|group| !group.all.is_empty()) {
-            self.deal(&members, turns);
+        let turns = Rotations { same_zone: rotation, all: rotation };
+        self.whole = Group::new(&members, turns);
+        let rebuild_due = self.rebuild_due(now);
+        let enough_requests = self.requests >= min_requests_for_partition(members.len());
+        if !enough_requests {
+            self.clear_partition();
+        } else if rebuild_due || self.by_kind.iter().any(|group| !group.all.is_empty()) {
+            self.partition(&members, turns);
         }
-        if due && telling {
-            self.traffic = self.traffic.map(|units| units * KEPT_TRAFFIC);
-            self.requests *= KEPT_TRAFFIC;
-            self.rebuild_at = Some(now + PERIOD);
-        } else if due {
-            self.rebuild_at = Some(now + FIRST_PERIOD);
+        if rebuild_due && enough_requests {
+            self.traffic = self.traffic.map(|units| units * TRAFFIC_DECAY);
+            self.requests *= TRAFFIC_DECAY;
+            self.rebuild_at = Some(now + REBUILD_INTERVAL);
+        } else if rebuild_due {
+            self.rebuild_at = Some(now + INITIAL_REBUILD_INTERVAL);
         }
     }
 
-    /// Each type's group is all backends.
-    fn undeal(&mut self) {
+    /// Makes the group of each type contain all backends.
+    fn clear_partition(&mut self) {
         self.by_kind = Default::default();
-        self.light = Group::default();
+        self.without_heaviest = Group::default();
     }
 
-    fn deal(&mut self, members: &[Member], turns: Turns) {
+    /// Assigns consecutive ranges of the member order to the types, sized by their share of the traffic.
+    fn partition(&mut self, members: &[Member], turns: Rotations) {
         let units: f64 = self.traffic.iter().sum();
         let count = members.len();
         let mut from = 0.0;
-        self.light = Group::default();
+        self.without_heaviest = Group::default();
         for kind in Kind::ALL {
             let traffic = self.traffic[kind.index()];
             self.by_kind[kind.index()] = Group::default();
@@ -165,12 +172,12 @@
                 continue;
             }
             let until = from + traffic / units * count as f64;
-            // A type whose share is below one backend shares the one that its share lies in.
+            // A type with a share below one backend uses the backend that its share falls on, together with other types.
             let first = (f64::round(from) as usize).min(count - 1);
             let last = (f64::round(until) as usize).clamp(first + 1, count);
-            self.by_kind[kind.index()] = Group::of(&members[first..last], turns);
+            self.by_kind[kind.index()] = Group::new(&members[first..last], turns);
             if kind == Kind::Both {
-                self.light = Group::of(&members[..first], turns);
+                self.without_heaviest = Group::new(&members[..first], turns);
             }
             from = until;
         }
--- a/crates/dispatch/src/rotation.rs
+++ b/crates/dispatch/src/rotation.rs
@@ -1,9 +1,9 @@
-//! Nginx's smooth weighted round robin with equal weights: each member in its turn, from a random start.
+//! Round robin from a random start: Nginx's smooth weighted round robin with equal weights.
 
 use crate::hash::Point;
 use crate::interface::BackendKey;
 
-/// Whose turn it is. With equal weights the smooth order is the members' own order, over and over.
+/// The position of the next member. With equal weights the smooth order is the member order itself.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Rotation {
     turn: usize,
@@ -14,11 +14,11 @@
         Rotation { turn }
     }
 
-    /// The next of the members that may be used.
+    /// Returns the next usable member and advances past it.
     pub fn next(&mut self, members: &[Point], usable: impl Fn(BackendKey) -> bool) -> Option<BackendKey> {
         let count = members.len();
-        let places = (0..count).map(|step| (self.turn + step) % count);
-        let at = places.into_iter().find(|at| usable(members[*at].backend))?;
+        let indices = (0..count).map(|step| (self.turn + step) % count);
+        let at = indices.into_iter().find(|at| usable(members[*at].backend))?;
         self.turn = (at + 1) % count;
         Some(members[at].backend)
     }
--- a/crates/dispatch/tests/unit/groups.rs
+++ b/crates/dispatch/tests/unit/groups.rs
@@ -27,7 +27,7 @@
 }
 
 fn sizes(groups: &Groups) -> [usize; 4] {
-    Kind::ALL.map(|kind| groups.of(kind).all.points().len())
+    Kind::ALL.map(|kind| groups.group(kind).all.points().len())
 }
 
 #[test]
@@ -40,7 +40,7 @@
     let groups = dealt(11, [5.0, 1.0, 2.0, 3.0]);
     let mut all: Vec<BackendKey> = Kind::ALL
         .iter()
-        .flat_map(|kind| groups.of(*kind).all.points().iter().map(|point| point.backend))
+        .flat_map(|kind| groups.group(*kind).all.points().iter().map(|point| point.backend))
         .collect();
     all.sort();
     all.dedup();
@@ -62,7 +62,7 @@
 fn a_group_of_some_size_reaches_every_zone() {
     let groups = dealt(12, [1.0, 0.0, 1.0, 0.0]);
     for kind in [Kind::Plain, Kind::LongAnswer] {
-        assert_eq!(groups.of(kind).same_zone.points().len(), 2);
+        assert_eq!(groups.group(kind).same_zone.points().len(), 2);
     }
 }
 
@@ -71,20 +71,20 @@
     let mut groups = dealt(12, [1.0, 0.0, 1.0, 0.0]);
     let left = members(12).split_off(1);
     groups.rebuild(Duration::from_secs(3), left, 0);
-    assert!(!groups.due(Duration::from_secs(3)));
+    assert!(!groups.rebuild_due(Duration::from_secs(3)));
     assert_eq!(sizes(&groups)[0] + sizes(&groups)[2], 11);
 }
 
 #[test]
 fn periods_are_two_seconds_and_then_thirty() {
     let mut groups = Groups::default();
-    assert!(!groups.due(Duration::from_secs(100)));
+    assert!(!groups.rebuild_due(Duration::from_secs(100)));
     (0..3).for_each(|_| groups.observe(Duration::from_secs(100), Kind::Plain, 1.0));
-    assert!(!groups.due(Duration::from_millis(101_900)));
-    assert!(groups.due(Duration::from_secs(102)));
+    assert!(!groups.rebuild_due(Duration::from_millis(101_900)));
+    assert!(groups.rebuild_due(Duration::from_secs(102)));
     groups.rebuild(Duration::from_secs(102), members(3), 0);
-    assert!(!groups.due(Duration::from_secs(131)));
-    assert!(groups.due(Duration::from_secs(132)));
+    assert!(!groups.rebuild_due(Duration::from_secs(131)));
+    assert!(groups.rebuild_due(Duration::from_secs(132)));
 }
 
 /// A bound that is off by several backends at each gateway gives a key other homes at each.
@@ -100,13 +100,13 @@
     observe(&mut groups, 200, 0);
     groups.rebuild(Duration::from_secs(2), members(60), 0);
     assert_eq!(sizes(&groups), [60; 4]);
-    assert_eq!(groups.homes(Kind::Plain).all.points().len(), 60);
-    assert!(groups.due(Duration::from_secs(4)), "looked at again soon, with all that was seen");
+    assert_eq!(groups.home_group(Kind::Plain).all.points().len(), 60);
+    assert!(groups.rebuild_due(Duration::from_secs(4)), "looked at again soon, with all that was seen");
     observe(&mut groups, 600, 3);
     groups.rebuild(Duration::from_secs(4), members(60), 0);
     let [light, _, _, heavy] = sizes(&groups);
     assert_eq!(light + heavy, 60);
-    assert_eq!(groups.homes(Kind::Plain).all.points().len(), light);
+    assert_eq!(groups.home_group(Kind::Plain).all.points().len(), light);
 }
 
 #[test]
