--- a/crates/dispatch/src/attempts.rs
+++ b/crates/dispatch/src/attempts.rs
@@ -107,7 +107,7 @@
         let relative_ratio = (latency_ratio / service.baseline_latency_ratio(now))
             .clamp(LATENCY_RATIO_BOUNDS.0, LATENCY_RATIO_BOUNDS.1);
         let excess_ms = took_ms - self.unloaded_ms;
-        backend.record_latency(now, excess_ms, baseline_ms, relative_ratio, weights.late_share);
+        backend.record_latency(now, excess_ms, baseline_ms, relative_ratio, weights.excess_latency_smoothing);
         service.record_latency(now, self.priority, excess_ms, latency_ratio);
     }
 }
--- a/crates/dispatch/src/backend.rs
+++ b/crates/dispatch/src/backend.rs
@@ -84,7 +84,7 @@
             heard: Timestamp::ZERO,
             answered: None,
             refusing_until: Timestamp::ZERO,
-            external_wait_ms: DecayingMean::new(0.0, weights.others_tau_ms),
+            external_wait_ms: DecayingMean::new(0.0, weights.external_wait_decay_ms),
             external_running: DecayingMean::new(0.0, EXTERNAL_RUNNING_DECAY_MS),
             pace: DecayingMean::new(0.0, SLOWNESS_DECAY_MS),
         }
--- a/crates/dispatch/src/choose.rs
+++ b/crates/dispatch/src/choose.rs
@@ -66,16 +66,16 @@
         let lists = [
             (&group.same_zone, 0.0, None),
             (&group.all, 0.0, None),
-            (&homes.same_zone, 0.0, Some(weights.kept_near)),
-            (&homes.all, 0.0, Some(weights.kept_at_first)),
-            (&whole.same_zone, weights.foreign, None),
-            (&whole.all, weights.foreign, None),
+            (&homes.same_zone, 0.0, Some(weights.same_zone_home_cached_probability)),
+            (&homes.all, 0.0, Some(weights.home_cached_probability)),
+            (&whole.same_zone, weights.outside_group_cost, None),
+            (&whole.all, weights.outside_group_cost, None),
         ];
         let mut keys = Vec::with_capacity(MAX_CANDIDATES);
         let mut candidates: Vec<Candidate> = Vec::with_capacity(lists.len() * MAX_CANDIDATES);
-        for (circle, penalty, kept) in lists {
+        for (ring, penalty, kept) in lists {
             keys.clear();
-            circle.candidates(key, MAX_CANDIDATES, &mut keys);
+            ring.candidates(key, MAX_CANDIDATES, &mut keys);
             for (rank, key) in keys.iter().enumerate() {
                 let kept = if rank == 0 { kept.unwrap_or(0.0) * sharing_likelihood } else { 0.0 };
                 // The lists are ordered by penalty, so an existing entry already has the lowest one.
@@ -88,14 +88,14 @@
         candidates
     }
 
-    /// Whether the group's load is at most `Weights::light` (0.1 by default) of its capacity.
+    /// Whether the group's load is at most `Weights::light_load_threshold` (0.1 by default) of its capacity.
     fn lightly_loaded(&self, now: Timestamp, index: usize, candidates: &[Candidate]) -> bool {
         let value = self.services[index].mean_load_units;
         let group = candidates.iter().filter(|of| of.penalty <= 0.0).filter_map(|of| self.backend(of.key));
         let (load, max) = group.fold((0.0, 0.0), |(load, max), backend| {
             (load + backend.load_units(now, value), max + backend.max_load_units(now, value))
         });
-        load <= max * self.settings.weights.light
+        load <= max * self.settings.weights.light_load_threshold
     }
 
     /// The backend if it is below the connection limit and was not tried before.
@@ -115,17 +115,17 @@
         let bound = self.services[index].max_connections_per_backend(self.gateways);
         let idempotent = request.route.idempotent;
         // Few load units can still mean long prompts, so backends with a long estimated wait are skipped.
-        let max_wait_ms = request.route.slo.as_secs_f64() * 1e3 * self.settings.weights.light;
-        let fit = CostModel::new(now, request, &self.services[index], &self.settings.weights, None);
+        let max_wait_ms = request.route.slo.as_secs_f64() * 1e3 * self.settings.weights.light_load_threshold;
+        let cost_model = CostModel::new(now, request, &self.services[index], &self.settings.weights, None);
         let usable = |key: BackendKey| {
             let backend = self.usable(key, request, bound).filter(|backend| backend.open(now, idempotent));
-            backend.is_some_and(|backend| fit.estimate(backend, 0.0).wait_ms() <= max_wait_ms)
+            backend.is_some_and(|backend| cost_model.estimate(backend, 0.0).wait_ms() <= max_wait_ms)
         };
         let group = self.services[index].groups.group(kind);
         let mut turns = group.turns;
-        let same_zone = turns.same_zone.next(group.same_zone.points(), usable);
-        let key = same_zone.or_else(|| turns.all.next(group.all.points(), usable))?;
-        let estimate = fit.estimate(self.backend(key)?, 0.0);
+        let same_zone = turns.same_zone.next(group.same_zone.entries(), usable);
+        let key = same_zone.or_else(|| turns.all.next(group.all.entries(), usable))?;
+        let estimate = cost_model.estimate(self.backend(key)?, 0.0);
         self.services[index].groups.group_mut(kind).turns = turns;
         Some(Selection { key, estimate })
     }
@@ -143,7 +143,8 @@
         let bound = self.services[index].max_connections_per_backend(self.gateways);
         let last_used = part.and_then(|part| self.last_prefix_use(part));
         let mut rng = self.rng.fork();
-        let fit = CostModel::new(now, request, &self.services[index], &self.settings.weights, last_used);
+        let cost_model =
+            CostModel::new(now, request, &self.services[index], &self.settings.weights, last_used);
         for open in [true, false] {
             let mut best: Option<Selection> = None;
             let mut ties = 1;
@@ -152,7 +153,7 @@
                 if open && !backend.open(now, request.route.idempotent) {
                     continue;
                 }
-                let mut estimate = fit.estimate(backend, candidate.kept);
+                let mut estimate = cost_model.estimate(backend, candidate.kept);
                 estimate.cost += candidate.penalty;
                 let min_cost = best.map_or(f64::INFINITY, |best| best.estimate.cost);
                 let tied = estimate.cost == min_cost && best.is_some_and(|best| best.key != candidate.key);
@@ -193,8 +194,8 @@
         let Some(backend) = self.backend(found.key) else { return Choice::NoBackend };
         let service = &self.services[index];
         let last_used = part.and_then(|part| self.last_prefix_use(part));
-        let fit = CostModel::new(now, request, service, &self.settings.weights, last_used);
-        if let Some(retry_after) = refused(&fit, backend, &found.estimate) {
+        let cost_model = CostModel::new(now, request, service, &self.settings.weights, last_used);
+        if let Some(retry_after) = refused(&cost_model, backend, &found.estimate) {
             return Choice::Full { retry_after };
         }
         Choice::Send(Target {
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -4,7 +4,7 @@
 use crate::backend::Backend;
 use crate::fit::shared_prefix;
 use crate::groups::Member;
-use crate::hash::Point;
+use crate::hash::RingEntry;
 use crate::health::Verdict;
 use crate::interface::*;
 use crate::service::Service;
@@ -246,7 +246,7 @@
         backend.units -= attempt.units;
         backend.remove_pending(attempt.serial);
         let silent = backend.silent(now, attempt.began, attempt.expected_ms, self.resumed_at);
-        let verdict = Verdict::of(outcome, silent, backend.responded_recently(now));
+        let verdict = Verdict::classify(outcome, silent, backend.responded_recently(now));
         match outcome {
             Outcome::Done => {
                 backend.record_activity(now);
@@ -257,7 +257,7 @@
             Outcome::NoConnection | Outcome::Misdirected => backend.kept.clear(),
             _ => {}
         }
-        if backend.health.judge(verdict, attempt.trial, peers) {
+        if backend.health.record_outcome(verdict, attempt.trial, peers) {
             self.eject(now, &attempt);
         }
     }
@@ -275,8 +275,8 @@
     fn peer_failure_rate(&self, attempt: &Attempt) -> f64 {
         let Some(service) = self.services.get(attempt.service as usize) else { return 0.0 };
         let others =
-            service.groups.whole.all.points().iter().filter(|point| point.backend != attempt.backend);
-        let rates = others.take(MAX_SAMPLED_PEERS).filter_map(|point| self.backend(point.backend));
+            service.groups.whole.all.entries().iter().filter(|entry| entry.backend != attempt.backend);
+        let rates = others.take(MAX_SAMPLED_PEERS).filter_map(|entry| self.backend(entry.backend));
         let (sum, count) =
             rates.fold((0.0, 0.0), |(sum, count), of| (sum + of.health.failure_rate(), count + 1.0));
         sum / f64::max(count, 1.0)
@@ -285,10 +285,10 @@
     /// Ejects a backend, unless half of its service is ejected already.
     fn eject(&mut self, now: Timestamp, attempt: &Attempt) {
         let Some(service) = self.services.get(attempt.service as usize) else { return };
-        let points = service.groups.whole.all.points();
-        let ejected = |point: &&Point| self.backend(point.backend).is_some_and(|of| of.health.ejected());
-        let ejected = points.iter().filter(ejected).count();
-        let bound = points.len() / 2;
+        let entries = service.groups.whole.all.entries();
+        let ejected = |entry: &&RingEntry| self.backend(entry.backend).is_some_and(|of| of.health.ejected());
+        let ejected = entries.iter().filter(ejected).count();
+        let bound = entries.len() / 2;
         let jitter = self.rng.f64();
         let Some(backend) = self.backends.get_mut(attempt.backend.0 as usize).and_then(Option::as_mut) else {
             return;
--- a/crates/dispatch/src/fit.rs
+++ b/crates/dispatch/src/fit.rs
@@ -68,7 +68,8 @@
     ) -> CostModel<'a> {
         let shared_tokens = shared_prefix(request).iter().map(|part| f64::from(part.tokens)).sum();
         let recent = |used: Timestamp| now.saturating_sub(used).as_secs_f64() * 1e3 < REUSE_WINDOW_MS;
-        let reuse_probability = if last_used.is_some_and(recent) { 1.0 } else { weights.shared_elsewhere };
+        let reuse_probability =
+            if last_used.is_some_and(recent) { 1.0 } else { weights.remote_use_probability };
         CostModel { now, request, service, weights, shared_tokens, reuse_probability }
     }
 
@@ -76,7 +77,7 @@
     fn latency_cost(&self, first_event_ms: f64) -> f64 {
         let objective = self.request.route.slo.saturating_sub(self.request.elapsed);
         let left_ms = (objective.as_secs_f64() * 1e3).max(MIN_REMAINING_OBJECTIVE_MS);
-        (first_event_ms / left_ms).powf(self.weights.lateness_power)
+        (first_event_ms / left_ms).powf(self.weights.latency_cost_exponent)
     }
 
     /// The cost of the request and response bytes that cross a zone boundary.
@@ -86,7 +87,7 @@
         if backend.same_zone {
             0.0
         } else {
-            kb * self.weights.crossing_per_kb
+            kb * self.weights.cross_zone_cost_per_kb
         }
     }
 
@@ -105,8 +106,9 @@
         let baseline_ms = self.service.baseline_wait_ms(self.now);
         let unloaded_ms = self.service.pace.first_event_ms(unread) * slowness;
         let first_event_ms = unloaded_ms + backend.wait_ms(self.now, baseline_ms, self.weights);
-        let reprefill_cost =
-            (missing - likely_cached) / 1e3 * self.weights.reread_per_k * self.reuse_probability;
+        let reprefill_cost = (missing - likely_cached) / 1e3
+            * self.weights.reprefill_cost_per_k_tokens
+            * self.reuse_probability;
         let cost = self.latency_cost(first_event_ms)
             + self.cross_zone_cost(backend)
             + reprefill_cost
@@ -119,8 +121,11 @@
     fn stall_cost(&self, backend: &Backend, unread: f64) -> f64 {
         let prefill_ms = self.service.pace.prefill_ms(unread) * backend.slowness(self.now);
         let blocked_ms = prefill_ms + backend.own_prefill_wait_ms(self.now);
-        let share = (blocked_ms / self.weights.stall_ms - 0.5).clamp(0.0, 1.0);
-        share * (prefill_ms / blocked_ms.max(1.0)) * backend.active_streams(self.now) * self.weights.stall
+        let share = (blocked_ms / self.weights.stall_prefill_ms - 0.5).clamp(0.0, 1.0);
+        share
+            * (prefill_ms / blocked_ms.max(1.0))
+            * backend.active_streams(self.now)
+            * self.weights.stall_cost_per_stream
     }
 
     /// Estimates a request to a service that is not an inference engine and has no prefill.
--- a/crates/dispatch/src/groups.rs
+++ b/crates/dispatch/src/groups.rs
@@ -1,7 +1,7 @@
 //! Backend groups: each request type with recent traffic gets a share of the service's backends in proportion to its
 //! share of the load.
 
-use crate::hash::{Circle, Point};
+use crate::hash::{HashRing, RingEntry};
 use crate::interface::{BackendKey, Timestamp};
 use crate::kinds::Kind;
 use crate::rotation::Rotation;
@@ -36,17 +36,17 @@
 /// The members of a group: those in this gateway's zone, and all.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Group {
-    pub same_zone: Circle,
-    pub all: Circle,
+    pub same_zone: HashRing,
+    pub all: HashRing,
     pub turns: Rotations,
 }
 
 impl Group {
     fn new(members: &[Member], turns: Rotations) -> Group {
-        let point = |member: &Member| Point { hash: member.hash, backend: member.backend };
-        let same_zone = members.iter().filter(|member| member.same_zone).map(point).collect();
-        let all = members.iter().map(point).collect();
-        Group { same_zone: Circle::new(same_zone), all: Circle::new(all), turns }
+        let entry = |member: &Member| RingEntry { hash: member.hash, backend: member.backend };
+        let same_zone = members.iter().filter(|member| member.same_zone).map(entry).collect();
+        let all = members.iter().map(entry).collect();
+        Group { same_zone: HashRing::new(same_zone), all: HashRing::new(all), turns }
     }
 }
 
--- a/crates/dispatch/src/health.rs
+++ b/crates/dispatch/src/health.rs
@@ -1,135 +1,143 @@
-//! Ejection: a backend whose sends fail well above its peers' gets none for a growing time, then one at a time.
+//! Outlier ejection: a backend with a failure rate well above that of its peers receives no requests for an
+//! exponentially growing time, then one trial request at a time.
 
 use crate::interface::{Outcome, Timestamp};
 use std::time::Duration;
 
-const FIRST_REST: Duration = Duration::from_millis(500);
-const LONGEST_REST: Duration = Duration::from_secs(8);
-/// What one outcome counts in the failure rate.
-const SHARE: f64 = 0.15;
-/// Failures in a row that eject without regard to the rate.
-const IN_A_ROW: u32 = 3;
-/// How far above its peers a failure rate must be.
-const TIMES_PEERS: f64 = 2.0;
-const ABOVE_PEERS: f64 = 0.15;
-/// Good answers in a row after which old ejections are forgotten.
-const FORGIVEN: u32 = 32;
-/// How much longer it rests where only requests that must not run twice could try it.
-const ONCE_PATIENCE: Duration = Duration::from_secs(1);
-/// Silence past what was expected after which a send that was given up on shows that its backend is dark.
-const DARK: Duration = Duration::from_millis(300);
-/// Trials in a row that must succeed, at the most.
-const MOST_TRIALS: u32 = 3;
+const BASE_EJECTION: Duration = Duration::from_millis(500);
+const MAX_EJECTION: Duration = Duration::from_secs(8);
+/// The weight of one outcome in the failure rate, an exponential moving average.
+const FAILURE_RATE_SMOOTHING: f64 = 0.15;
+/// The number of consecutive failures that suffices for ejection instead of an absolute failure rate. The failure rate
+/// must exceed that of the peers in either case.
+const MAX_CONSECUTIVE_FAILURES: u32 = 3;
+/// The factor and the margin by which a failure rate must exceed that of the peers.
+const PEER_RATE_FACTOR: f64 = 2.0;
+const PEER_RATE_MARGIN: f64 = 0.15;
+/// The number of consecutive successes that resets the ejection backoff.
+const SUCCESSES_TO_RESET_BACKOFF: u32 = 32;
+/// The additional ejection time for requests that are not idempotent, so that idempotent ones serve as trials first.
+const NON_IDEMPOTENT_TRIAL_DELAY: Duration = Duration::from_secs(1);
+/// If the client disconnects after the backend has been silent this long past the expected time, the backend counts as
+/// unresponsive.
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(300);
+/// The maximum number of consecutive trials that must succeed to end an ejection.
+const MAX_TRIALS: u32 = 3;
 
-/// What an outcome says of the backend.
+/// What the outcome of an attempt means for the health of its backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    Good,
-    Bad,
-    /// It can't have been this backend, or it was silent all the while.
-    Ruinous,
+    Success,
+    Failure,
+    /// A single such failure ejects: the instance is gone or replaced, or it was silent throughout.
+    Fatal,
     Nothing,
 }
 
 impl Verdict {
-    /// `silent` is for how long nothing has come from the backend, if nothing has since the send began.
-    pub fn of(outcome: Outcome, silent: Option<Duration>, responded_recently: bool) -> Verdict {
+    /// Classifies an outcome. `silent` is how long the backend has been silent past the expected time, or `None` if
+    /// anything arrived since the attempt began.
+    pub fn classify(outcome: Outcome, silent: Option<Duration>, responded_recently: bool) -> Verdict {
         match outcome {
-            Outcome::Done => Verdict::Good,
-            Outcome::BackendError | Outcome::Reset => Verdict::Bad,
-            Outcome::NoConnection if responded_recently => Verdict::Bad,
-            Outcome::NoConnection | Outcome::Misdirected => Verdict::Ruinous,
-            Outcome::TimedOut if silent.is_none() => Verdict::Bad,
-            Outcome::TimedOut => Verdict::Ruinous,
-            // Nobody waits longer for a backend that says nothing at all.
-            Outcome::ClientGone if silent.is_some_and(|silent| silent >= DARK) => Verdict::Ruinous,
+            Outcome::Done => Verdict::Success,
+            Outcome::BackendError | Outcome::Reset => Verdict::Failure,
+            Outcome::NoConnection if responded_recently => Verdict::Failure,
+            Outcome::NoConnection | Outcome::Misdirected => Verdict::Fatal,
+            Outcome::TimedOut if silent.is_none() => Verdict::Failure,
+            Outcome::TimedOut => Verdict::Fatal,
+            // The client gave up on a backend that was silent throughout.
+            Outcome::ClientGone if silent.is_some_and(|silent| silent >= UNRESPONSIVE_AFTER) => {
+                Verdict::Fatal
+            }
             Outcome::Refused | Outcome::ClientGone => Verdict::Nothing,
         }
     }
 }
 
-/// Whether a backend may be sent requests, by what became of those before.
+/// The health of a backend, derived from the outcomes of its attempts.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Health {
     rate: f64,
-    in_a_row: u32,
-    good_in_a_row: u32,
-    strikes: u32,
-    rest_until: Option<Timestamp>,
+    consecutive_failures: u32,
+    consecutive_successes: u32,
+    ejections: u32,
+    ejected_until: Option<Timestamp>,
     trials_left: u32,
-    trial_out: bool,
+    trial_in_flight: bool,
 }
 
 impl Health {
-    /// The share of sends that fail, of late.
+    /// The recent share of failed attempts.
     pub fn failure_rate(&self) -> f64 {
         self.rate
     }
 
-    /// Whether it rests or is on trial.
+    /// Whether the backend is ejected, including its trial phase.
     pub fn ejected(&self) -> bool {
-        self.rest_until.is_some()
+        self.ejected_until.is_some()
     }
 
-    /// Whether it may be sent a request now; one that may run only once is no trial before its time.
+    /// Whether the backend accepts a request now. A request that is not idempotent becomes a trial only after an
+    /// additional delay.
     pub fn open(&self, now: Timestamp, idempotent: bool) -> bool {
-        let patience = if idempotent { Duration::ZERO } else { ONCE_PATIENCE };
-        self.rest_until.is_none_or(|until| now >= until + patience && !self.trial_out)
+        let trial_delay = if idempotent { Duration::ZERO } else { NON_IDEMPOTENT_TRIAL_DELAY };
+        self.ejected_until.is_none_or(|until| now >= until + trial_delay && !self.trial_in_flight)
     }
 
-    /// A request goes there: where it was ejected, as a trial.
+    /// Records the start of an attempt and returns whether it is a trial.
     pub fn begin(&mut self) -> bool {
-        self.trial_out |= self.ejected();
+        self.trial_in_flight |= self.ejected();
         self.ejected()
     }
 
-    /// A send ended; true if the backend is to be ejected, should its service bear it.
-    pub fn judge(&mut self, verdict: Verdict, trial: bool, peers: f64) -> bool {
-        self.trial_out &= !trial;
+    /// Records the end of an attempt and returns whether the backend should be ejected, if the service has enough others.
+    pub fn record_outcome(&mut self, verdict: Verdict, trial: bool, peers: f64) -> bool {
+        self.trial_in_flight &= !trial;
         match verdict {
             Verdict::Nothing => false,
-            Verdict::Good => {
-                self.good();
+            Verdict::Success => {
+                self.record_success();
                 false
             }
-            Verdict::Bad | Verdict::Ruinous => {
-                self.rate += (1.0 - self.rate) * SHARE;
-                self.good_in_a_row = 0;
-                self.in_a_row += 1;
+            Verdict::Failure | Verdict::Fatal => {
+                self.rate += (1.0 - self.rate) * FAILURE_RATE_SMOOTHING;
+                self.consecutive_successes = 0;
+                self.consecutive_failures += 1;
                 if self.ejected() && !trial {
-                    // What went out before tells nothing new.
+                    // Attempts started before the ejection carry no new information.
                     return false;
                 }
-                let above = self.rate > peers * TIMES_PEERS + ABOVE_PEERS;
-                let many = self.in_a_row >= IN_A_ROW || self.rate > 2.5 * SHARE;
-                trial || verdict == Verdict::Ruinous || above && many
+                let above_peers = self.rate > peers * PEER_RATE_FACTOR + PEER_RATE_MARGIN;
+                let many = self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
+                    || self.rate > 2.5 * FAILURE_RATE_SMOOTHING;
+                trial || verdict == Verdict::Fatal || above_peers && many
             }
         }
     }
 
-    fn good(&mut self) {
-        self.rate -= self.rate * SHARE;
-        self.in_a_row = 0;
-        self.good_in_a_row += 1;
-        if self.good_in_a_row >= FORGIVEN {
-            self.strikes = 0;
+    fn record_success(&mut self) {
+        self.rate -= self.rate * FAILURE_RATE_SMOOTHING;
+        self.consecutive_failures = 0;
+        self.consecutive_successes += 1;
+        if self.consecutive_successes >= SUCCESSES_TO_RESET_BACKOFF {
+            self.ejections = 0;
         }
         if self.ejected() {
             self.trials_left = self.trials_left.saturating_sub(1);
             if self.trials_left == 0 {
-                self.rest_until = None;
-                self.rate = self.rate.min(SHARE);
+                self.ejected_until = None;
+                self.rate = self.rate.min(FAILURE_RATE_SMOOTHING);
             }
         }
     }
 
-    /// It rests, longer each time; `jitter` of 0 to 1 spreads the gateways' trials.
+    /// Ejects the backend, for longer each time. `jitter`, from 0 to 1, spreads the trials of different gateways.
     pub fn eject(&mut self, now: Timestamp, jitter: f64) {
-        let doubled = FIRST_REST * (1 << self.strikes.min(4));
-        let rest = doubled.min(LONGEST_REST).mul_f64(0.75 + 0.5 * jitter);
-        self.strikes += 1;
-        self.rest_until = Some(now + rest);
-        self.trials_left = self.strikes.min(MOST_TRIALS);
-        self.good_in_a_row = 0;
+        let backoff = BASE_EJECTION * (1 << self.ejections.min(4));
+        let duration = backoff.min(MAX_EJECTION).mul_f64(0.75 + 0.5 * jitter);
+        self.ejections += 1;
+        self.ejected_until = Some(now + duration);
+        self.trials_left = self.ejections.min(MAX_TRIALS);
+        self.consecutive_successes = 0;
     }
 }
--- a/crates/dispatch/src/kinds.rs
+++ b/crates/dispatch/src/kinds.rs
@@ -14,12 +14,12 @@
 pub(crate) enum Kind {
     Plain,
     LongPrompt,
-    LongAnswer,
+    LongResponse,
     Both,
 }
 
 impl Kind {
-    pub const ALL: [Kind; 4] = [Kind::Plain, Kind::LongPrompt, Kind::LongAnswer, Kind::Both];
+    pub const ALL: [Kind; 4] = [Kind::Plain, Kind::LongPrompt, Kind::LongResponse, Kind::Both];
 
     pub fn index(self) -> usize {
         self as usize
--- a/crates/dispatch/src/prefix.rs
+++ b/crates/dispatch/src/prefix.rs
@@ -1,47 +1,48 @@
-//! Which parts of prompts a backend keeps, as far as it follows from what this gateway sent there.
+//! Estimates which prompt parts a backend has cached from the prompts that this gateway sent to it.
 
 use crate::interface::{PromptPart, Timestamp};
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// Parts remembered of one backend at the most.
-const MOST_PARTS: usize = 1024;
-/// What was sent longer ago has given way to what others sent since.
-const KEPT_FOR: Duration = Duration::from_secs(60);
+/// The maximum number of part uses tracked per backend.
+const MAX_PARTS: usize = 1024;
+/// Parts sent longer ago are assumed to have been evicted by the requests of other gateways.
+const CACHE_RETENTION: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Copy, Debug)]
-struct Kept {
+struct CachedPart {
     tokens: u32,
     used: Timestamp,
 }
 
-/// The parts that one backend is believed to keep, the least recently used giving way.
+/// An LRU model of the prefix cache of one backend.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PrefixCache {
-    parts: HashMap<u64, Kept>,
-    /// Uses in their order; of one part only the last one counts.
+    parts: HashMap<u64, CachedPart>,
+    /// Part uses in chronological order. Only the last use of a part counts.
     uses: VecDeque<(u64, Timestamp)>,
     tokens: u64,
 }
 
 impl PrefixCache {
-    /// Tokens at the prompt's start that need not be read.
+    /// The number of tokens in the longest cached prefix of the prompt.
     pub fn cached_tokens(&self, now: Timestamp, parts: &[PromptPart]) -> u32 {
-        let kept = |part: &&PromptPart| self.parts.get(&part.id).is_some_and(|of| now < of.used + KEPT_FOR);
+        let kept =
+            |part: &&PromptPart| self.parts.get(&part.id).is_some_and(|of| now < of.used + CACHE_RETENTION);
         parts.iter().take_while(kept).fold(0, |sum, part| sum.saturating_add(part.tokens))
     }
 
-    /// A prompt was sent there: its parts are kept now, as far as `bound` tokens go.
+    /// Records a prompt sent to the backend and evicts parts that are too old or exceed `bound` tokens in total.
     pub fn sent(&mut self, now: Timestamp, parts: &[PromptPart], bound: u64) {
         for part in parts {
-            let kept = Kept { tokens: part.tokens, used: now };
+            let kept = CachedPart { tokens: part.tokens, used: now };
             let before = self.parts.insert(part.id, kept).map_or(0, |kept| u64::from(kept.tokens));
             self.tokens = self.tokens + u64::from(part.tokens) - before;
             self.uses.push_back((part.id, now));
         }
         while let Some((id, used)) = self.uses.front().copied() {
-            let crowded = self.tokens > bound || self.uses.len() > MOST_PARTS;
-            if !crowded && now < used + KEPT_FOR {
+            let over_limit = self.tokens > bound || self.uses.len() > MAX_PARTS;
+            if !over_limit && now < used + CACHE_RETENTION {
                 return;
             }
             self.uses.pop_front();
@@ -51,7 +52,7 @@
         }
     }
 
-    /// It restarted: nothing is kept.
+    /// Empties the cache model after the backend may have restarted.
     pub fn clear(&mut self) {
         *self = PrefixCache::default();
     }
--- a/crates/dispatch/src/service.rs
+++ b/crates/dispatch/src/service.rs
@@ -82,7 +82,7 @@
     pub fn max_connections_per_backend(&self, gateways: usize) -> u32 {
         match self.view.max_conns {
             0 => u32::MAX,
-            most => (most / gateways.max(1) as u32).max(1),
+            limit => (limit / gateways.max(1) as u32).max(1),
         }
     }
 
--- a/crates/dispatch/src/weights.rs
+++ b/crates/dispatch/src/weights.rs
@@ -1,52 +1,54 @@
-//! What the choice weighs against time: settings with sound defaults.
+//! The weights of the cost model, with defaults.
 
-/// Prices and bounds of the choice, in shares of a request's worth.
+/// The weights of backend selection. Costs are shares of a request's value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Weights {
-    /// A thousand bytes that cross a zone.
-    pub crossing_per_kb: f64,
-    /// A thousand tokens of shared parts that are read again.
-    pub reread_per_k: f64,
-    /// The chance that another gateway sent a part elsewhere lately, where nothing is known.
-    pub shared_elsewhere: f64,
-    /// The chance that a key's first backend keeps a part that this gateway hasn't sent there.
-    pub kept_at_first: f64,
-    /// The same of its first backend in this gateway's zone.
-    pub kept_near: f64,
-    /// How much of what one answer was late by counts as its backend's wait.
-    pub late_share: f64,
-    /// How fast a backend's wait by others is forgotten, in ms.
-    pub others_tau_ms: f64,
-    /// How much of a backend's silence past what was expected counts as wait.
+    /// The cost of 1,000 bytes that cross a zone boundary.
+    pub cross_zone_cost_per_kb: f64,
+    /// The cost of repeating the prefill of 1,000 tokens of shared parts.
+    pub reprefill_cost_per_k_tokens: f64,
+    /// The assumed probability that another gateway recently sent a shared prefix that this gateway has not.
+    pub remote_use_probability: f64,
+    /// The assumed probability that the home backend of a key has cached parts that this gateway did not send there.
+    pub home_cached_probability: f64,
+    /// The same probability for the home backend within this gateway's zone.
+    pub same_zone_home_cached_probability: f64,
+    /// The weight of a single measured delay in the estimated external wait of its backend.
+    pub excess_latency_smoothing: f64,
+    /// The decay time constant of a backend's external wait, in ms.
+    pub external_wait_decay_ms: f64,
+    /// The factor by which a backend's silence past the expected time counts as wait.
     pub silence: f64,
-    /// How lateness grows with the share of the objective that the first event takes.
-    pub lateness_power: f64,
-    /// What one stream costs that a long prompt holds up, in shares of worth.
-    pub stall: f64,
-    /// The time of reading a prompt that holds up all streams beside it, in ms.
-    pub stall_ms: f64,
-    /// What a backend outside the type's group counts, in shares of worth.
-    pub foreign: f64,
-    /// Of the members' maxima, the load up to which a group rotates.
-    pub light: f64,
+    /// The exponent of the latency cost: the cost is the share of the objective used up by the first event, raised to
+    /// this power.
+    pub latency_cost_exponent: f64,
+    /// The cost per running stream that the prefill of a long prompt stalls.
+    pub stall_cost_per_stream: f64,
+    /// The reference prefill time for stalled streams, in ms: the stall cost rises from zero at 0.5 times this value to
+    /// its maximum at 1.5 times.
+    pub stall_prefill_ms: f64,
+    /// The additional cost of a backend outside the type's group and home backends.
+    pub outside_group_cost: f64,
+    /// The share of its capacity up to which the load of a group counts as light and requests are served round robin.
+    pub light_load_threshold: f64,
 }
 
 impl Default for Weights {
     fn default() -> Weights {
         Weights {
-            crossing_per_kb: 0.005,
-            reread_per_k: 0.2,
-            shared_elsewhere: 0.6,
-            kept_at_first: 0.8,
-            kept_near: 0.2,
-            late_share: 0.5,
-            others_tau_ms: 500.0,
+            cross_zone_cost_per_kb: 0.005,
+            reprefill_cost_per_k_tokens: 0.2,
+            remote_use_probability: 0.6,
+            home_cached_probability: 0.8,
+            same_zone_home_cached_probability: 0.2,
+            excess_latency_smoothing: 0.5,
+            external_wait_decay_ms: 500.0,
             silence: 5.0,
-            lateness_power: 1.0,
-            stall: 0.3,
-            stall_ms: 300.0,
-            foreign: 0.3,
-            light: 0.1,
+            latency_cost_exponent: 1.0,
+            stall_cost_per_stream: 0.3,
+            stall_prefill_ms: 300.0,
+            outside_group_cost: 0.3,
+            light_load_threshold: 0.1,
         }
     }
 }
--- a/crates/dispatch/tests/balance.rs
+++ b/crates/dispatch/tests/balance.rs
@@ -22,18 +22,18 @@
         let (name, value) = pair.split_once('=').expect("a name and a value");
         let value: f64 = value.parse().expect("a number");
         match name {
-            "cross" => weights.crossing_per_kb = value,
-            "reread" => weights.reread_per_k = value,
-            "elsewhere" => weights.shared_elsewhere = value,
-            "first" => weights.kept_at_first = value,
-            "near" => weights.kept_near = value,
-            "stall" => weights.stall = value,
-            "stallms" => weights.stall_ms = value,
-            "late" => weights.late_share = value,
-            "tau" => weights.others_tau_ms = value,
+            "cross" => weights.cross_zone_cost_per_kb = value,
+            "reread" => weights.reprefill_cost_per_k_tokens = value,
+            "elsewhere" => weights.remote_use_probability = value,
+            "first" => weights.home_cached_probability = value,
+            "near" => weights.same_zone_home_cached_probability = value,
+            "stall" => weights.stall_cost_per_stream = value,
+            "stallms" => weights.stall_prefill_ms = value,
+            "late" => weights.excess_latency_smoothing = value,
+            "tau" => weights.external_wait_decay_ms = value,
             "silence" => weights.silence = value,
-            "power" => weights.lateness_power = value,
-            "foreign" => weights.foreign = value,
+            "power" => weights.latency_cost_exponent = value,
+            "foreign" => weights.outside_group_cost = value,
             _ => panic!("no such weight"),
         }
     }
--- a/crates/dispatch/tests/unit/groups.rs
+++ b/crates/dispatch/tests/unit/groups.rs
@@ -14,10 +14,10 @@
     (0..count).map(member).collect()
 }
 
-/// Requests of a type, as many as tell the shares of a few backends.
+/// Requests per type, enough to partition a small number of backends.
 const REQUESTS: u32 = 100;
 
-fn dealt(count: u32, traffic: [f64; 4]) -> Groups {
+fn partitioned(count: u32, traffic: [f64; 4]) -> Groups {
     let mut groups = Groups::default();
     for (kind, units) in Kind::ALL.into_iter().zip(traffic).filter(|(_, units)| *units > 0.0) {
         (0..REQUESTS).for_each(|_| groups.observe(Duration::ZERO, kind, units / f64::from(REQUESTS)));
@@ -27,20 +27,20 @@
 }
 
 fn sizes(groups: &Groups) -> [usize; 4] {
-    Kind::ALL.map(|kind| groups.group(kind).all.points().len())
+    Kind::ALL.map(|kind| groups.group(kind).all.entries().len())
 }
 
 #[test]
 fn groups_are_sized_by_load() {
-    assert_eq!(sizes(&dealt(12, [1.0, 1.0, 2.0, 2.0])), [2, 2, 4, 4]);
+    assert_eq!(sizes(&partitioned(12, [1.0, 1.0, 2.0, 2.0])), [2, 2, 4, 4]);
 }
 
 #[test]
 fn every_backend_is_in_some_group() {
-    let groups = dealt(11, [5.0, 1.0, 2.0, 3.0]);
+    let groups = partitioned(11, [5.0, 1.0, 2.0, 3.0]);
     let mut all: Vec<BackendKey> = Kind::ALL
         .iter()
-        .flat_map(|kind| groups.group(*kind).all.points().iter().map(|point| point.backend))
+        .flat_map(|kind| groups.group(*kind).all.entries().iter().map(|entry| entry.backend))
         .collect();
     all.sort();
     all.dedup();
@@ -48,27 +48,27 @@
 }
 
 #[test]
-fn types_share_backends_where_they_outnumber_them() {
-    assert_eq!(sizes(&dealt(2, [1.0, 1.0, 1.0, 1.0])), [1; 4]);
-    assert_eq!(sizes(&dealt(1, [1.0, 50.0, 1.0, 1.0])), [1; 4]);
+fn types_share_backends_if_there_are_fewer_backends_than_types() {
+    assert_eq!(sizes(&partitioned(2, [1.0, 1.0, 1.0, 1.0])), [1; 4]);
+    assert_eq!(sizes(&partitioned(1, [1.0, 50.0, 1.0, 1.0])), [1; 4]);
 }
 
 #[test]
-fn a_type_without_traffic_uses_all() {
-    assert_eq!(sizes(&dealt(6, [1.0, 0.0, 1.0, 0.0])), [3, 6, 3, 6]);
+fn a_type_without_traffic_uses_all_backends() {
+    assert_eq!(sizes(&partitioned(6, [1.0, 0.0, 1.0, 0.0])), [3, 6, 3, 6]);
 }
 
 #[test]
-fn a_group_of_some_size_reaches_every_zone() {
-    let groups = dealt(12, [1.0, 0.0, 1.0, 0.0]);
-    for kind in [Kind::Plain, Kind::LongAnswer] {
-        assert_eq!(groups.group(kind).same_zone.points().len(), 2);
+fn a_large_group_has_members_in_the_local_zone() {
+    let groups = partitioned(12, [1.0, 0.0, 1.0, 0.0]);
+    for kind in [Kind::Plain, Kind::LongResponse] {
+        assert_eq!(groups.group(kind).same_zone.entries().len(), 2);
     }
 }
 
 #[test]
-fn a_backend_that_leaves_does_so_before_the_period_is_over() {
-    let mut groups = dealt(12, [1.0, 0.0, 1.0, 0.0]);
+fn a_removed_backend_leaves_its_group_before_the_rebuild_interval_elapses() {
+    let mut groups = partitioned(12, [1.0, 0.0, 1.0, 0.0]);
     let left = members(12).split_off(1);
     groups.rebuild(Duration::from_secs(3), left, 0);
     assert!(!groups.rebuild_due(Duration::from_secs(3)));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn periods_are_two_seconds_and_then_thirty() {
+fn the_rebuild_interval_is_two_and_then_thirty_seconds() {
     let mut groups = Groups::default();
     assert!(!groups.rebuild_due(Duration::from_secs(100)));
     (0..3).for_each(|_| groups.observe(Duration::from_secs(100), Kind::Plain, 1.0));
@@ -87,9 +87,10 @@
     assert!(groups.rebuild_due(Duration::from_secs(132)));
 }
 
-/// A bound that is off by several backends at each gateway gives a key other homes at each.
+/// Guards against partitions from too few requests: group boundaries that differ between gateways by several backends
+/// give a key a different home backend at each gateway.
 #[test]
-fn few_requests_deal_no_groups_among_many_backends() {
+fn few_requests_do_not_partition_many_backends() {
     let mut groups = Groups::default();
     let observe = |groups: &mut Groups, count: u32, at: u64| {
         for request in 0..count {
@@ -100,17 +101,20 @@
     observe(&mut groups, 200, 0);
     groups.rebuild(Duration::from_secs(2), members(60), 0);
     assert_eq!(sizes(&groups), [60; 4]);
-    assert_eq!(groups.home_group(Kind::Plain).all.points().len(), 60);
-    assert!(groups.rebuild_due(Duration::from_secs(4)), "looked at again soon, with all that was seen");
+    assert_eq!(groups.home_group(Kind::Plain).all.entries().len(), 60);
+    assert!(
+        groups.rebuild_due(Duration::from_secs(4)),
+        "a rebuild is due soon and keeps the recorded traffic"
+    );
     observe(&mut groups, 600, 3);
     groups.rebuild(Duration::from_secs(4), members(60), 0);
     let [light, _, _, heavy] = sizes(&groups);
     assert_eq!(light + heavy, 60);
-    assert_eq!(groups.home_group(Kind::Plain).all.points().len(), light);
+    assert_eq!(groups.home_group(Kind::Plain).all.entries().len(), light);
 }
 
 #[test]
-fn no_members_make_empty_groups() {
-    let groups = dealt(0, [1.0, 1.0, 1.0, 1.0]);
+fn groups_without_members_are_empty() {
+    let groups = partitioned(0, [1.0, 1.0, 1.0, 1.0]);
     assert_eq!(sizes(&groups), [0; 4]);
 }
--- a/crates/dispatch/tests/unit/pace.rs
+++ b/crates/dispatch/tests/unit/pace.rs
@@ -1,22 +1,22 @@
 use super::{DecayingMean, LatencyModel};
 use std::time::Duration;
 
-/// First events as an engine of this pace gives them, now and then behind others' prompts.
-fn learned(tokens_per_ms: f64, overhead_ms: f64) -> LatencyModel {
+/// A model trained with first events of an engine of this speed; 30 % of them are delayed by queueing.
+fn trained_model(tokens_per_ms: f64, overhead_ms: f64) -> LatencyModel {
     let mut pace = LatencyModel::default();
     let mut rng = fastrand::Rng::with_seed(4);
     for turn in 0..600 {
         let tokens = if turn % 2 == 0 { 100.0 + 200.0 * rng.f64() } else { 2000.0 + 8000.0 * rng.f64() };
-        let behind_ms = if rng.f64() < 0.3 { 150.0 * rng.f64() } else { 0.0 };
-        pace.observe_first_event(tokens, overhead_ms + tokens / tokens_per_ms + behind_ms);
+        let queueing_ms = if rng.f64() < 0.3 { 150.0 * rng.f64() } else { 0.0 };
+        pace.observe_first_event(tokens, overhead_ms + tokens / tokens_per_ms + queueing_ms);
     }
     pace
 }
 
 #[test]
-fn the_rate_and_the_overhead_are_learned_through_the_noise() {
+fn rate_and_overhead_are_estimated_despite_queueing_noise() {
     for (tokens_per_ms, overhead_ms) in [(100.0, 9.0), (62.0, 8.0), (20.0, 30.0)] {
-        let pace = learned(tokens_per_ms, overhead_ms);
+        let pace = trained_model(tokens_per_ms, overhead_ms);
         let rate = 10_000.0 / pace.prefill_ms(10_000.0);
         assert!((rate / tokens_per_ms - 1.0).abs() < 0.25, "{rate} for {tokens_per_ms}");
         let overhead = pace.first_event_ms(0.0);
@@ -25,14 +25,14 @@
 }
 
 #[test]
-fn work_follows_what_answers_take() {
+fn response_time_follows_measurements() {
     let mut pace = LatencyModel::default();
     (0..200).for_each(|_| pace.observe_response(60.0));
     assert!((pace.response_ms() - 60.0).abs() < 1.0);
 }
 
 #[test]
-fn a_fading_mean_falls_back_to_what_is_usual() {
+fn a_decaying_mean_returns_to_the_baseline() {
     let mut wait = DecayingMean::new(0.0, 500.0);
     wait.observe(Duration::from_secs(1), 20.0, 220.0, 1.0);
     assert!((wait.value(Duration::from_secs(1), 20.0) - 220.0).abs() < 1e-6);
--- a/crates/dispatch/tests/unit/prefix.rs
+++ b/crates/dispatch/tests/unit/prefix.rs
@@ -1,4 +1,4 @@
-use super::{PrefixCache, MOST_PARTS};
+use super::{PrefixCache, MAX_PARTS};
 use crate::interface::PromptPart;
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_part_counts_only_if_all_before_it_are_kept() {
+fn a_part_counts_only_if_all_preceding_parts_are_cached() {
     let mut cache = PrefixCache::default();
     cache.sent(at(0), &parts(&[1, 2, 3]), 10_000);
     assert_eq!(cache.cached_tokens(at(1), &parts(&[1, 2, 9])), 200);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_least_recently_used_give_way() {
+fn least_recently_used_parts_are_evicted() {
     let mut cache = PrefixCache::default();
     cache.sent(at(0), &parts(&[1]), 300);
     cache.sent(at(1), &parts(&[2]), 300);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn what_was_sent_long_ago_is_not_believed_in() {
+fn parts_expire() {
     let mut cache = PrefixCache::default();
     cache.sent(at(0), &parts(&[1]), 10_000);
     assert_eq!(cache.cached_tokens(at(59), &parts(&[1])), 100);
@@ -40,8 +40,8 @@
 #[test]
 fn memory_is_bounded() {
     let mut cache = PrefixCache::default();
-    for id in 0..10 * MOST_PARTS as u64 {
+    for id in 0..10 * MAX_PARTS as u64 {
         cache.sent(at(0), &parts(&[id]), u64::MAX / 2);
     }
-    assert!(cache.parts.len() <= MOST_PARTS && cache.uses.len() <= MOST_PARTS);
+    assert!(cache.parts.len() <= MAX_PARTS && cache.uses.len() <= MAX_PARTS);
 }
