--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -108,7 +108,7 @@
         let backend = Some(Backend::new(view.clone(), &settings.zone, &settings.weights));
         let index = self.free_indices.pop().unwrap_or(self.backends.len() as u32);
         match self.backends.get_mut(index as usize) {
-            Some(place) => *place = backend,
+            Some(slot) => *slot = backend,
             None => self.backends.push(backend),
         }
         self.keys.insert(view.id.clone(), BackendKey(index));
@@ -116,10 +116,10 @@
 
     /// Drops backends whose retention has expired and that have no attempts in flight; their keys may be reused.
     fn forget(&mut self, now: Timestamp) {
-        for (index, place) in self.backends.iter_mut().enumerate() {
+        for (index, slot) in self.backends.iter_mut().enumerate() {
             let expired = |since: Timestamp| now.saturating_sub(since) >= BACKEND_RETENTION;
             let dropped =
-                place.take_if(|backend| backend.in_flight == 0 && backend.gone_since.is_some_and(expired));
+                slot.take_if(|backend| backend.in_flight == 0 && backend.gone_since.is_some_and(expired));
             if let Some(backend) = dropped {
                 self.keys.remove(&backend.view.id);
                 self.free_indices.push(index as u32);
