--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,6 +1,7 @@
-//! The choice of a backend for each request of a gateway. No I/O, no clock: the host hands in the time.
+//! Backend selection for a gateway's requests. Performs no I/O and reads no clock; the caller passes in the time.
 
 mod admission;
+mod attempts;
 mod backend;
 mod choose;
 mod dispatcher;
@@ -13,7 +14,6 @@
 mod pace;
 mod prefix;
 mod rotation;
-mod sends;
 mod service;
 mod weights;
 
