--- a/crates/launch/src/lib.rs
+++ b/crates/launch/src/lib.rs
@@ -7,7 +7,7 @@
 
 use crankpick::balance::Balancer;
 use crankpick::interface::{
-    ClockError, ColdRule, DedupGroup, ExecutionLimits, Goal, Repeat, Standing, Tenant, Workload,
+    ClockError, ColdRule, DedupGroup, Deployment, ExecutionLimits, Repeat, ScoringMix, Tenant, Workload,
 };
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -53,7 +53,7 @@
 }
 
 fn tenant(conf: &Value, beyond_importance: f64) -> Result<Tenant, String> {
-    Ok(Tenant { quota_per_s: at(conf, "QuotaRps")?, beyond_importance })
+    Ok(Tenant { quota_per_s: at(conf, "QuotaRps")?, over_quota_importance: beyond_importance })
 }
 
 /// The value that every entry of the list at `path` has under `name`: the names of workloads, say.
@@ -72,7 +72,7 @@
 }
 
 /// Absent settings leave a proxy that stands nowhere and asks nobody.
-pub fn standing(conf: &Value) -> Result<Standing, String> {
+pub fn standing(conf: &Value) -> Result<Deployment, String> {
     let zone: Option<u32> = at(conf, "Zone")?;
     let zones: Vec<String> = at(conf, "Zones")?;
     if zone.is_some_and(|zone| zone as usize >= zones.len()) {
@@ -85,20 +85,20 @@
         "pull" | "silent" => true,
         other => return Err(format!("settings: unknown Report.Via {other:?}")),
     };
-    Ok(Standing {
+    Ok(Deployment {
         zone,
-        crossing: amount(conf, "Prices.CrossZone")?,
+        cross_zone_cost: amount(conf, "Prices.CrossZone")?,
         connection: amount(conf, "Prices.Connection")? + amount(conf, "Prices.Handshake")?,
         probes: at::<bool>(conf, "Limits.Probes")? && untold,
         peers: at(conf, "Limits.Peers")?,
-        only_draining_binds: at(conf, "Safety.RemovalNotBinding")?,
-        response_room: above_zero(conf, "Limits.ResponseRoom")?.map(|room| room as usize),
+        removal_not_binding: at(conf, "Safety.RemovalNotBinding")?,
+        response_buffers: above_zero(conf, "Limits.ResponseRoom")?.map(|room| room as usize),
         ask_within_us: ask_within(conf)?,
         clocks: ClockError {
             deadline_us: at(conf, "Safety.DeadlineErrorUs")?,
             start_us: at(conf, "Safety.StartDriftUs")?,
         },
-        goal: goal(conf)?,
+        scoring: goal(conf)?,
     })
 }
 
@@ -121,8 +121,8 @@
 }
 
 /// A part that counts needs the figure that it is counted by.
-fn goal(conf: &Value) -> Result<Goal, String> {
-    let goal = Goal {
+fn goal(conf: &Value) -> Result<ScoringMix, String> {
+    let goal = ScoringMix {
         nines_part: amount(conf, "ScoringMix.NinesPart")?,
         full_at_nines: amount(conf, "ScoringMix.FullAtNines")?,
         slow_end: amount(conf, "ScoringMix.SlowEnd")?,
@@ -167,7 +167,7 @@
     Ok(ColdRule {
         start_capacity: at(conf, "Safety.StartCapacity")?,
         cold_us: at(conf, "Safety.ColdUs")?,
-        multiple: at::<f64>(conf, "Safety.TipMultiple")? * share,
+        capacity_multiple: at::<f64>(conf, "Safety.TipMultiple")? * share,
         window_us: at(conf, "Safety.OverloadForUs")?,
     })
 }
--- a/crates/launch/tests/settings.rs
+++ b/crates/launch/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings as instances are told them: what is absent changes nothing, what is unsound is refused in one line.
 
-use crankpick::interface::{ClockError, Goal};
+use crankpick::interface::{ClockError, ScoringMix};
 use serde_json::{json, Value};
 
 /// The settings with the value at `path` set, or left out where there is none.
@@ -18,14 +18,14 @@
 #[test]
 fn what_is_absent_changes_nothing() {
     let standing = crankpick_launch::standing(&settings("", None)).expect("sound");
-    assert_eq!((standing.response_room, standing.ask_within_us), (None, None));
-    assert_eq!((standing.clocks, standing.goal), (ClockError::default(), Goal::default()));
+    assert_eq!((standing.response_buffers, standing.ask_within_us), (None, None));
+    assert_eq!((standing.clocks, standing.scoring), (ClockError::default(), ScoringMix::default()));
 }
 
 #[test]
 fn each_setting_reaches_the_module() {
     let told = |path, value| crankpick_launch::standing(&settings(path, Some(value))).expect("sound");
-    assert_eq!(told("Limits.ResponseRoom", json!(7)).response_room, Some(7));
+    assert_eq!(told("Limits.ResponseRoom", json!(7)).response_buffers, Some(7));
     assert_eq!(told("Safety.AskWithinUs", json!(5_000_000)).ask_within_us, Some(5_000_000));
     assert_eq!(told("Safety.DeadlineErrorUs", json!(600)).clocks.deadline_us, 600);
     assert_eq!(told("Safety.StartDriftUs", json!(700)).clocks.start_us, 700);
@@ -33,8 +33,8 @@
     conf["ScoringMix"]["FullAtNines"] = json!(3);
     conf["ScoringMix"]["SlowEnd"] = json!(0.2);
     conf["ScoringMix"]["TailSlack"] = json!(0.01);
-    let goal = Goal { nines_part: 0.4, full_at_nines: 3.0, slow_end: 0.2, tail_slack: 0.01 };
-    assert_eq!(crankpick_launch::standing(&conf).expect("sound").goal, goal);
+    let goal = ScoringMix { nines_part: 0.4, full_at_nines: 3.0, slow_end: 0.2, tail_slack: 0.01 };
+    assert_eq!(crankpick_launch::standing(&conf).expect("sound").scoring, goal);
 }
 
 #[test]
--- a/crates/proxy/src/backends.rs
+++ b/crates/proxy/src/backends.rs
@@ -251,7 +251,7 @@
     let never_ran = head.headers.get("x-not-run").is_some_and(|value| value == "1");
     let ended = match head.status {
         StatusCode::OK => Ended::Completed,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => Ended::TurnedAway,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => Ended::Rejected,
         // The query's own fault: no other backend would take it, and it says nothing about this one.
         status if status.is_client_error() && !OF_THE_MOMENT.contains(&status) => Ended::Cancelled,
         _ => Ended::Errored,
--- a/crates/proxy/src/decide.rs
+++ b/crates/proxy/src/decide.rs
@@ -9,7 +9,7 @@
 use axum::http::Uri;
 use crankpick::balance::{Balancer, Inbox};
 use crankpick::interface::{
-    ColdRule, Ended, ExecutionLimits, Listed, LoadReport, Room, Tenant, Workload, Writer,
+    BackendCapacity, ColdRule, Ended, ExecutionLimits, Listed, LoadReport, Tenant, Workload, Writer,
 };
 use tokio::sync::{mpsc, Notify};
 
@@ -137,7 +137,7 @@
         self.probes.push(backend);
     }
 
-    fn tell(&mut self, peer: u32, bytes: &str) {
+    fn send_note(&mut self, peer: u32, bytes: &str) {
         self.peers.tell(peer, bytes);
     }
 }
@@ -176,13 +176,13 @@
 
     async fn wake(self: Arc<Self>, in_us: u64, token: String) {
         tokio::time::sleep(Duration::from_micros(in_us)).await;
-        self.news(|inbox| inbox.woken(&token));
+        self.news(|inbox| inbox.timer_fired(&token));
     }
 
     async fn probe(self: Arc<Self>, backend: u32, hold: Option<Hold>) {
         let heard = Arc::clone(&self.backends).probe(backend, self.probe_path.clone()).await;
         drop(hold);
-        self.news(|inbox| inbox.probed(backend, heard.ended, heard.took_us, heard.report));
+        self.news(|inbox| inbox.probe_outcome(backend, heard.ended, heard.took_us, heard.report));
     }
 
     /// A round on news that can't be unsound.
@@ -208,7 +208,7 @@
 
     /// Whether the module may still send to a backend that the list has dropped.
     pub fn uses(&self, backend: u32) -> bool {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner).balancer.uses(backend)
+        self.held.lock().unwrap_or_else(PoisonError::into_inner).balancer.knows_backend(backend)
     }
 
     /// What is in hand, in a fleet.
@@ -217,9 +217,9 @@
     }
 
     /// Each backend's load and maximum as the module has them; queries taken and turned away since the last look.
-    pub fn look(&self) -> (Vec<Room>, u64, u64) {
+    pub fn look(&self) -> (Vec<BackendCapacity>, u64, u64) {
         let mut held = self.held.lock().unwrap_or_else(PoisonError::into_inner);
-        let rooms = held.balancer.rooms().collect();
+        let rooms = held.balancer.capacities().collect();
         let (taken, turned) = (std::mem::take(&mut held.desk.taken), std::mem::take(&mut held.desk.turned));
         (rooms, taken, turned)
     }
@@ -275,7 +275,7 @@
     /// Takes a backend out, or back, whatever the list says.
     pub fn by_hand(self: &Arc<Self>, backend: u32, out: bool) {
         self.backends.places().out(backend, out);
-        self.news(|inbox| inbox.by_hand(backend, out));
+        self.news(|inbox| inbox.set_manual_drain(backend, out));
     }
 
     pub fn list(self: &Arc<Self>, whole: bool, items: &[Listed]) {
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use crankpick::interface::{Listed, Phase};
-use crankpick::retry::{Failure, Retry, ANSWER_US, CONNECT_US, SILENT_US};
+use crankpick::retry::{Failure, Retry, CONNECT_TIMEOUT_US, RESPONSE_TIMEOUT_US, WATCH_TIMEOUT_US};
 use crankpick_launch::Instance;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::Incoming;
@@ -28,9 +28,9 @@
 use crate::names::Names;
 
 /// How long a call may take: worked out in `retry`, together with the waits between calls.
-const SILENT: Duration = Duration::from_micros(SILENT_US);
-const CALL: Duration = Duration::from_micros(ANSWER_US);
-const OPENED: Duration = Duration::from_micros(CONNECT_US);
+const SILENT: Duration = Duration::from_micros(WATCH_TIMEOUT_US);
+const CALL: Duration = Duration::from_micros(RESPONSE_TIMEOUT_US);
+const OPENED: Duration = Duration::from_micros(CONNECT_TIMEOUT_US);
 /// Between two tries where an agent beside us has the list: it counts as told as soon as the agent has it, and the
 /// shortest grace on drains seen is 150 ms. Twice as long after each that failed, up to the second.
 const PUSHED: [Duration; 2] = [Duration::from_millis(30), Duration::from_millis(120)];
@@ -101,7 +101,7 @@
         pushed: bool,
         proxies: usize,
     ) -> Self {
-        let start_us = if pushed { 0 } else { Retry::new(proxies).start_us() };
+        let start_us = if pushed { 0 } else { Retry::new(proxies).start_spread_us() };
         Discovery {
             decide,
             backends,
@@ -245,7 +245,7 @@
                 sleep(pause).await;
                 wanted.notify_one();
             } else {
-                self.decide.news(|inbox| inbox.list_lost(failure));
+                self.decide.news(|inbox| inbox.list_failed(failure));
             }
         }
     }
--- a/crates/proxy/src/query.rs
+++ b/crates/proxy/src/query.rs
@@ -124,7 +124,7 @@
                         let payload = payload.clone();
                         move || {
                             let (decide, id) = (Arc::clone(&decide), id.clone());
-                            payload.body(move |whole| decide.news(|inbox| inbox.sending(&id, whole)))
+                            payload.body(move |whole| decide.news(|inbox| inbox.body_progress(&id, whole)))
                         }
                     };
                     let too_late = Lifecycle::too_late(proxy.lifecycle.clone());
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -87,7 +87,7 @@
     Ok(match code {
         200 => Ended::Completed,
         502 => Ended::Errored,
-        429 => Ended::TurnedAway,
+        429 => Ended::Rejected,
         408 => Ended::TimedOut,
         521 => Ended::Unreachable,
         520 => Ended::Dropped,
@@ -144,11 +144,11 @@
             Ok(())
         }
         "Reminder" => {
-            inbox.woken(need(line.ctx.as_deref(), message, "Ctx")?);
+            inbox.timer_fired(need(line.ctx.as_deref(), message, "Ctx")?);
             Ok(())
         }
         "ProbeDone" => {
-            inbox.probed(
+            inbox.probe_outcome(
                 need(line.backend, message, "Backend")?,
                 ended(need(line.rc, message, "Rc")?)?,
                 need(line.duration_us, message, "DurationUs")?,
@@ -163,7 +163,7 @@
         }
         "Endpoints" => {
             match (line.kind.as_deref(), &line.listed) {
-                (Some("lost"), _) => inbox.list_lost(Failure::Refused),
+                (Some("lost"), _) => inbox.list_failed(Failure::Refused),
                 (Some("incr"), Some(items)) => inbox.list(false, items),
                 (Some("total" | "warm_copy"), Some(items)) => inbox.list(true, items),
                 (kind, _) => return Err(format!("Endpoints: unknown Kind {kind:?}")),
--- a/crates/simhost/src/reply.rs
+++ b/crates/simhost/src/reply.rs
@@ -94,7 +94,7 @@
         self.put(Out { message: "SoundOut", backend: Some(backend), ..Out::default() });
     }
 
-    fn tell(&mut self, peer: u32, bytes: &str) {
+    fn send_note(&mut self, peer: u32, bytes: &str) {
         self.put(Out { message: "Announce", recipient: Some(peer), bytes: Some(bytes), ..Out::default() });
     }
 }
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -11,54 +11,56 @@
 use std::collections::BTreeSet;
 
 /// The paper's load values of the four types, from plain to heavy on all counts.
-const VALUES: [f64; 4] = [1.0, 2.0, 2.0, 3.0];
+const TYPE_LOADS: [f64; 4] = [1.0, 2.0, 2.0, 3.0];
 /// Hints are cut half-way between the values, the two equal ones half-way between their cuts.
-const CUTS: [f64; 3] = [1.5, 2.0, 2.5];
-const REGROUP_US: u64 = 30_000_000;
-const MAXIMA_US: u64 = 250_000;
-const SWEEP_US: u64 = 25_000;
+const TYPE_CUTOFFS: [f64; 3] = [1.5, 2.0, 2.5];
+const REGROUP_INTERVAL_US: u64 = 30_000_000;
+const MAXIMA_INTERVAL_US: u64 = 250_000;
+const SWEEP_INTERVAL_US: u64 = 25_000;
 /// Queries left with one backend by all, as told: more only wait where none can reject them.
-const CROWD_TOLD: f64 = 4.0;
+const EXECUTION_LIMIT_REPORTED: f64 = 4.0;
 /// Queries left with one backend by all, as inferred where nobody tells.
-const CROWD: f64 = 3.0;
+const EXECUTION_LIMIT_INFERRED: f64 = 3.0;
 /// What a restart leaves of the bound on both, how low that goes, and what comes back each quarter second.
-pub(crate) const AFTER_RESTART: f64 = 0.75;
-pub(crate) const CROWD_LEAST: f64 = 1.5;
-const CROWD_BACK: f64 = 1.005;
+pub(crate) const RESTART_LIMIT_FACTOR: f64 = 0.75;
+pub(crate) const MIN_EXECUTION_LIMIT: f64 = 1.5;
+const LIMIT_RECOVERY_FACTOR: f64 = 1.005;
 /// Executions of a workload that fail, in part, past which its queries may themselves be the cause; and past
 /// which, where others succeed so many times as often, they hold up whoever takes them.
-const SUSPECT: f64 = 0.1;
-const HOLDS_UP: (f64, f64) = (0.5, 3.0);
+const SUSPECT_FAILURE_RATE: f64 = 0.1;
+const BLOCKING_FAILURE: (f64, f64) = (0.5, 3.0);
 /// Proxies that share one backend, where a part may be that small: one query of each of many is a crowd.
-const SHARED_BY: usize = 3;
+const PROXIES_PER_BACKEND: usize = 3;
 /// Backends in an arc at the least, also where connections have a price or sharers are told, which costs the
 /// less the fewer there are: past so many to a backend.
-const PART_LEAST: usize = 6;
-const PART_FEW: usize = 3;
-const SHARERS_MANY: usize = 16;
+const MIN_ARC: usize = 6;
+const MIN_ARC_COSTLY: usize = 3;
+const MAX_PROXIES_PER_BACKEND: usize = 16;
 /// Those of its zone, and of others, that a probing proxy draws.
-const PART_PROBED: usize = 8;
+const PROBING_SUBSET: usize = 8;
 /// Candidates probed at a time.
-const WAVE: usize = 2;
-const PROBE_LOST_US: u64 = 2_000_000;
+const PROBES_PER_WAVE: usize = 2;
+const PROBE_LOST_AFTER_US: u64 = 2_000_000;
 /// Maxima of load found by a probe past which the most important is refused, and the load that any accepts.
-const BEARS: f64 = 3.0;
-const BEARS_LEAST: f64 = 4.0;
+const OVERLOAD_FACTOR: f64 = 3.0;
+const ALWAYS_ACCEPTED_LOAD: f64 = 4.0;
 /// What probes found may turn the next queries away for so long.
-const STRAIN_US: f64 = 2e6;
+const PROBED_LOAD_TTL_US: f64 = 2e6;
 /// Of the SLO time, what each lost answer among the last eight costs a query with one chance.
-const LOSS: f64 = 0.125;
+const LOST_ANSWER_COST: f64 = 0.125;
 /// Outcomes that the usual pace for a backend's weight counts as, where few ever come.
-const SURE: f64 = 2.0;
+const PRIOR_OUTCOMES: f64 = 2.0;
 /// Outcomes from which the fastest pace is known: one that met a crowd would make all queries hopeless.
-const ENOUGH: u64 = 16;
+const MIN_SPEED_SAMPLES: u64 = 16;
 
 impl Backend {
     fn open(&self, now_us: u64, importance: f64) -> bool {
         // The most important need not wait out a rest, so that it is the cheap ones that are turned away.
-        let rested_us = self.rest.0 + (self.rest.1 * (1.0 - importance)) as u64;
+        let rested_us = self.cooldown.0 + (self.cooldown.1 * (1.0 - importance)) as u64;
         // One that was shut gets one query at a time until one is completed.
-        self.ready() && (self.shut_for_us == 0 || self.idle()) && now_us >= self.shut_until_us.max(rested_us)
+        self.ready()
+            && (self.ejection_us == 0 || self.idle())
+            && now_us >= self.ejected_until_us.max(rested_us)
     }
 }
 
@@ -70,7 +72,7 @@
         out: &mut dyn Writer,
         feed: impl FnOnce(&mut Inbox) -> Result<(), E>,
     ) -> Result<(), E> {
-        if std::mem::take(&mut self.must_ask) {
+        if std::mem::take(&mut self.must_subscribe) {
             out.subscribe();
         }
         feed(&mut Inbox { balancer: self, out, now_us })?;
@@ -78,20 +80,21 @@
             self.regroup(now_us);
         }
         // A peer's note alone calls for no decision.
-        if self.waiting.is_empty() && self.sweeping {
+        if self.waiting.is_empty() && self.sweep_scheduled {
             return Ok(());
         }
         self.set_maxima(now_us);
         // Only after all news: what ends in this batch needs no second copy.
-        if !self.sweeping {
+        if !self.sweep_scheduled {
             self.sweep(now_us, out);
         }
         self.place_waiting(now_us, out);
         // Those woken seldom are woken anew as something comes to wait.
-        if (!self.sweeping || self.calm && !self.waiting.is_empty()) && !self.queries.is_empty() {
-            self.sweeping = true;
-            self.calm = self.standing.probes && self.waiting.is_empty();
-            out.wake(if self.calm { SWEEP_US * 4 } else { SWEEP_US }, "sweep");
+        if (!self.sweep_scheduled || self.idle_sweep && !self.waiting.is_empty()) && !self.queries.is_empty()
+        {
+            self.sweep_scheduled = true;
+            self.idle_sweep = self.deployment.probes && self.waiting.is_empty();
+            out.wake(if self.idle_sweep { SWEEP_INTERVAL_US * 4 } else { SWEEP_INTERVAL_US }, "sweep");
         }
         Ok(())
     }
@@ -99,65 +102,76 @@
     /// A maximum is the work done within the target time at the learned pace, else at the others' mean for
     /// its weight. Where candidates are probed only theirs need be current, the others' four times a second.
     fn set_maxima(&mut self, now_us: u64) {
-        let bound = |entry: &Place| self.queries[&entry.2].binding().is_some();
-        let ids: Vec<u32> = if self.standing.probes && now_us < self.maxima_us {
+        let bound = |entry: &QueueKey| self.queries[&entry.2].binding_execution().is_some();
+        let ids: Vec<u32> = if self.deployment.probes && now_us < self.next_maxima_us {
             self.waiting.iter().flat_map(|entry| self.queries[&entry.2].asked.iter().copied()).collect()
         } else {
-            self.maxima_us = now_us + MAXIMA_US;
-            let known = || self.ours().filter_map(|backend| backend.learned);
-            let mean = mean_or(known(), DEFAULT_MAX / self.target_us);
+            self.next_maxima_us = now_us + MAXIMA_INTERVAL_US;
+            let known = || self.subset_backends().filter_map(|backend| backend.median_pace);
+            let mean = mean_or(known(), DEFAULT_MAX_LOAD / self.target_us);
             self.slowest_pace = known().fold(mean, f64::min);
-            let by_weight = |backend: &Backend| backend.learned.map(|pace| pace / backend.weight());
-            self.weight_pace = mean_or(self.ours().filter_map(by_weight), DEFAULT_MAX / self.target_us);
-            self.used = mean_or(self.ours().filter_map(|backend| backend.utilisation), 0.0);
+            let by_weight = |backend: &Backend| backend.median_pace.map(|pace| pace / backend.weight());
+            self.pace_per_weight =
+                mean_or(self.subset_backends().filter_map(by_weight), DEFAULT_MAX_LOAD / self.target_us);
+            self.mean_utilisation =
+                mean_or(self.subset_backends().filter_map(|backend| backend.utilisation), 0.0);
             match self.waiting.iter().any(bound) {
                 true => self.fleet.keys().copied().collect(),
-                false => self.part.iter().chain(&self.beyond).copied().collect(),
+                false => self.subset.iter().chain(&self.remote_subset).copied().collect(),
             }
         };
         for id in ids {
             let Some(backend) = self.fleet.get_mut(&id) else { continue };
-            let usual_pace = self.weight_pace * backend.weight();
-            backend.recall(now_us, self.used, usual_pace, SURE, self.target_us, self.quickest_us);
+            let usual_pace = self.pace_per_weight * backend.weight();
+            backend.refresh_estimates(
+                now_us,
+                self.mean_utilisation,
+                usual_pace,
+                PRIOR_OUTCOMES,
+                self.target_us,
+                self.fastest_probe_us,
+            );
             // One that stands still yields no outcomes: the oldest not passed by bounds its pace.
-            let ends = !self.standing.probes && now_us >= self.unread.until_us;
-            for (_, held) in backend.held.range(backend.passed..).take(usize::from(ends)) {
+            let ends = !self.deployment.probes && now_us >= self.unread.until_us;
+            for (_, held) in backend.held.range(backend.last_completed_serial..).take(usize::from(ends)) {
                 let age_us = now_us.saturating_sub(held.sent_us).max(1);
-                backend.pace = backend.pace.min(held.ahead / age_us as f64);
+                backend.pace = backend.pace.min(held.work_at_send / age_us as f64);
             }
-            backend.max =
-                backend.pace * self.target_us * backend.warmth(&self.cold, now_us) * backend.trust();
+            backend.max = backend.pace
+                * self.target_us
+                * backend.warmup_factor(&self.cold, now_us)
+                * backend.phase_out_factor();
         }
     }
 
     /// Sizes each type's group by its share of the load units, in learned maxima, strongest first.
     fn regroup(&mut self, now_us: u64) {
         // A proxy that has just started knows no traffic: its first groups hold all and are soon rebuilt.
-        self.regroup_us = now_us + self.regroup_gap_us;
-        self.regroup_gap_us = (self.regroup_gap_us * 2).min(REGROUP_US);
+        self.regroup_us = now_us + self.regroup_interval_us;
+        self.regroup_interval_us = (self.regroup_interval_us * 2).min(REGROUP_INTERVAL_US);
         // Nobody vouches for what the list has dropped and this proxy doesn't use.
-        let unused = |id: &u32| !self.part.contains(id) && !self.beyond.contains(id);
+        let unused = |id: &u32| !self.subset.contains(id) && !self.remote_subset.contains(id);
         let others = self.fleet.iter_mut().filter(|(id, _)| unused(id));
-        others.for_each(|(_, backend)| backend.steps = backend.steps.saturating_sub(1));
+        others.for_each(|(_, backend)| backend.phase_out_steps = backend.phase_out_steps.saturating_sub(1));
         let ids: Vec<u32> = self.fleet.values().filter(|b| b.ready()).map(|b| b.listed.backend).collect();
-        (self.maxima_us, self.part, self.beyond) = (0, Vec::new(), Vec::new());
-        if self.standing.probes {
+        (self.next_maxima_us, self.subset, self.remote_subset) = (0, Vec::new(), Vec::new());
+        if self.deployment.probes {
             // Each connection costs, and a backend holds only so many: a few of the own zone, drawn by lot.
-            self.draw(ids, PART_PROBED);
+            self.draw_subset(ids, PROBING_SUBSET);
         } else {
             // Where proxies are many, each uses its own part of the list, an arc.
-            let many = PART_LEAST * self.balancers > SHARERS_MANY * ids.len();
-            let few = if self.standing.peers { many } else { self.standing.connection > 0.0 };
-            let least = if few { PART_FEW } else { PART_LEAST };
-            let part = (SHARED_BY * ids.len()).div_ceil(self.balancers).max(least).min(ids.len());
+            let many = MIN_ARC * self.proxy_count > MAX_PROXIES_PER_BACKEND * ids.len();
+            let few = if self.deployment.peers { many } else { self.deployment.connection > 0.0 };
+            let least = if few { MIN_ARC_COSTLY } else { MIN_ARC };
+            let part = (PROXIES_PER_BACKEND * ids.len()).div_ceil(self.proxy_count).max(least).min(ids.len());
             // So that a zone that is cut off leaves each proxy some of a small arc.
-            let ids = if self.standing.peers { self.zones_in_turns(&ids) } else { ids };
-            self.deal(&ids, part);
+            let ids = if self.deployment.peers { self.interleave_zones(&ids) } else { ids };
+            self.assign_arc(&ids, part);
         }
         self.set_maxima(now_us);
-        self.most_weight = self.fleet.values().map(|backend| backend.listed.weight).fold(0.0, f64::max);
+        self.max_weight = self.fleet.values().map(|backend| backend.listed.weight).fold(0.0, f64::max);
         let mut rng = self.rng.fork();
-        let mut servers: Vec<&Backend> = self.ours().collect();
+        let mut servers: Vec<&Backend> = self.subset_backends().collect();
         servers.sort_by(|a, b| b.max.total_cmp(&a.max));
         let whole: f64 = servers.iter().map(|server| server.max).sum();
         let units: f64 = self.traffic.iter().sum();
@@ -179,8 +193,8 @@
     }
 
     /// Whether rule 2 lets this query have a further execution on this backend now.
-    fn allowed(&self, qry: &Query, on: &Listed, now_us: u64) -> bool {
-        let Some(first) = qry.binding() else { return true };
+    fn repeat_allowed(&self, qry: &Query, on: &Listed, now_us: u64) -> bool {
+        let Some(first) = qry.binding_execution() else { return true };
         let workload = &self.workloads[qry.workload];
         let first_on = &self.fleet[&first.backend].listed;
         let together = match workload.group {
@@ -189,7 +203,7 @@
             DedupGroup::Cell => on.cell == first_on.cell,
         };
         match workload.repeat {
-            Repeat::Deduplicated => together && qry.repeats_for_us(&self.workloads, now_us) > 0,
+            Repeat::Deduplicated => together && qry.dedup_left_us(&self.workloads, now_us) > 0,
             other => other == Repeat::Idempotent,
         }
     }
@@ -197,60 +211,65 @@
     /// Rule 4: this proxy's share of what a cold backend bears in a window, by the slowest pace seen.
     fn within_cold_budget(&self, backend: &Backend, work: f64, now_us: u64) -> bool {
         let window_us = self.cold.window_us.max(1);
-        let warmth = |at: &Backend| at.warmth(&self.cold, now_us.saturating_sub(window_us / 2));
-        let bears = self.cold.multiple * warmth(backend) * self.slowest_pace * window_us as f64;
-        let sent = backend.sent_since(now_us.saturating_sub(window_us));
+        let warmth = |at: &Backend| at.warmup_factor(&self.cold, now_us.saturating_sub(window_us / 2));
+        let bears = self.cold.capacity_multiple * warmth(backend) * self.slowest_pace * window_us as f64;
+        let sent = backend.cold_work_since(now_us.saturating_sub(window_us));
         let (users, luck, begun_us) = self.turn(backend, now_us, window_us);
         let part = bears / (users * self.processes) as f64;
         // A part below one query is dealt in turns that add up to the whole, each to be taken in its first
         // half, none that began before the start was heard of: what has gathered would go at once.
-        let dealt = luck * work < part && begun_us >= backend.heard_us && now_us < begun_us + window_us / 2;
+        let dealt =
+            luck * work < part && begun_us >= backend.start_heard_us && now_us < begun_us + window_us / 2;
         // Who has just started knows no pace and may follow one that sent there. Parts are for their users.
-        let young = |of: bool| of && self.ours().any(|at| warmth(at) >= 1.0);
-        let follows = backend.since_us < self.began_us && now_us < self.began_us + window_us;
+        let young = |of: bool| of && self.subset_backends().any(|at| warmth(at) >= 1.0);
+        let follows = backend.since_us < self.first_list_us && now_us < self.first_list_us + window_us;
         let within = || sent + work <= part && !young(follows) || sent <= 0.0 && dealt;
-        let ours = || self.standing.probes || self.part.contains(&backend.listed.backend);
-        let knows = || !young(self.ours().all(|at| at.learned.is_none()));
+        let ours = || self.deployment.probes || self.subset.contains(&backend.listed.backend);
+        let knows = || !young(self.subset_backends().all(|at| at.median_pace.is_none()));
         warmth(backend) >= 1.0 || within() && ours() && knows()
     }
 
     /// Whether what this proxy has out is what crowded backends hold of it; none are at 0.9 of their cores.
-    fn crowded(&self, now_us: u64) -> bool {
-        let told = self.standing.probes || self.standing.peers || (1e-9..0.9).contains(&self.used);
-        let users = |backend: &Backend| 1.0 / (backend.sharers.len() + 1) as f64;
-        let fair: f64 = self.ours().filter(|backend| backend.shut_until_us <= now_us).map(users).sum();
-        let known = self.reported.count >= 16;
-        let share = if known { self.own_out.mean / self.reported.mean.max(1e-9) } else { 0.0 };
-        !told && self.out() >= CROWD * share.clamp(fair, fair * 2.0)
+    fn inferred_overload(&self, now_us: u64) -> bool {
+        let told =
+            self.deployment.probes || self.deployment.peers || (1e-9..0.9).contains(&self.mean_utilisation);
+        let users = |backend: &Backend| 1.0 / (backend.sharing_peers.len() + 1) as f64;
+        let fair: f64 =
+            self.subset_backends().filter(|backend| backend.ejected_until_us <= now_us).map(users).sum();
+        let known = self.reported_in_flight.count >= 16;
+        let share =
+            if known { self.own_in_flight.mean / self.reported_in_flight.mean.max(1e-9) } else { 0.0 };
+        !told && self.out() >= EXECUTION_LIMIT_INFERRED * share.clamp(fair, fair * 2.0)
     }
 
     /// Whether the executions of this workload fail far more often than another's on the same backends; and
     /// whether they hold these up: one goes out at a time then, none for a while after each that fails.
-    fn suspect(&self, workload: usize) -> (bool, bool) {
-        let others = self.failing.iter().enumerate().filter(|(other, _)| *other != workload);
+    fn suspect_workload(&self, workload: usize) -> (bool, bool) {
+        let others = self.failure_rates.iter().enumerate().filter(|(other, _)| *other != workload);
         let least = others.filter(|(_, of)| of.count >= 8).map(|(_, of)| of.mean).fold(1.0, f64::min);
-        let own = if self.failing[workload].count >= 8 { self.failing[workload].mean } else { 0.0 };
-        let holds_up = own > HOLDS_UP.0 && (1.0 - own) * HOLDS_UP.1 < 1.0 - least;
-        (own > (least * 2.0).max(SUSPECT), holds_up)
+        let own =
+            if self.failure_rates[workload].count >= 8 { self.failure_rates[workload].mean } else { 0.0 };
+        let holds_up = own > BLOCKING_FAILURE.0 && (1.0 - own) * BLOCKING_FAILURE.1 < 1.0 - least;
+        (own > (least * 2.0).max(SUSPECT_FAILURE_RATE), holds_up)
     }
 
     /// Whether rules, health and room for its kind let this query go to this backend at all.
     fn usable(&self, qry: &Query, backend: &Backend, now_us: u64) -> bool {
         backend.open(now_us, qry.importance)
-            && (self.standing.probes || (backend.crowd() as f64) < self.bears)
+            && (self.deployment.probes || (backend.execution_count() as f64) < self.execution_limit)
             && qry.executions.iter().all(|exec| exec.backend != backend.listed.backend)
-            && self.allowed(qry, &backend.listed, now_us)
+            && self.repeat_allowed(qry, &backend.listed, now_us)
             && self.within_cold_budget(backend, qry.work, now_us)
     }
 
     /// Work of this backend's that a crossing costs a query, by its importance against the others'.
-    fn toll(&self, qry: &Query, backend: &Backend) -> f64 {
-        let far = self.standing.zone.is_some_and(|zone| zone != backend.listed.zone);
-        let worth = qry.importance * qry.work / self.usual_importance.max(1e-9);
-        let crossing = f64::from(u8::from(far)) * self.standing.crossing / worth.max(1e-3);
+    fn placement_cost(&self, qry: &Query, backend: &Backend) -> f64 {
+        let far = self.deployment.zone.is_some_and(|zone| zone != backend.listed.zone);
+        let worth = qry.importance * qry.work / self.mean_importance.max(1e-9);
+        let crossing = f64::from(u8::from(far)) * self.deployment.cross_zone_cost / worth.max(1e-3);
         // One that must never run twice has one chance: what lost answers lately loses it by as much.
         let once = self.workloads[qry.workload].repeat == Repeat::NonIdempotent;
-        let lost = f64::from(u8::from(once) * backend.failures.count_ones() as u8) * LOSS;
+        let lost = f64::from(u8::from(once) * backend.failures.count_ones() as u8) * LOST_ANSWER_COST;
         (crossing + lost) * qry.slo_us as f64 * backend.pace
     }
 
@@ -258,7 +277,8 @@
     fn rotate(&mut self, kind: usize, may: &[u32]) -> Option<u32> {
         let mut among: Vec<&mut Member> =
             self.groups[kind].iter_mut().filter(|member| may.contains(&member.backend)).collect();
-        let weight = |at: &Member| self.fleet[&at.backend].listed.weight * self.fleet[&at.backend].trust();
+        let weight =
+            |at: &Member| self.fleet[&at.backend].listed.weight * self.fleet[&at.backend].phase_out_factor();
         let whole: f64 = among.iter().map(|member| weight(member)).sum();
         among.iter_mut().for_each(|member| member.turn += weight(member));
         let next = among.into_iter().max_by(|a, b| a.turn.total_cmp(&b.turn))?;
@@ -272,32 +292,37 @@
         loop {
             let qry = &self.queries[id];
             let usable = |at: &&Backend| self.usable(qry, at, now_us);
-            let spare = |backend: &Backend| backend.room() - self.toll(qry, backend);
+            let spare = |backend: &Backend| backend.spare_capacity() - self.placement_cost(qry, backend);
             let asked = qry.asked.iter().map(|at| &self.fleet[at]).filter(usable);
             let best = asked.max_by(|a, b| spare(a).total_cmp(&spare(b)));
             // One mean query on the rotation's next leaves it light: more cores than one can't be told.
-            let light = if qry.waves == 1 { VALUES[1] } else { 0.0 };
-            let fits = |best: &Backend| qry.waves > 1 && best.load() + qry.load <= best.max;
+            let light = if qry.probe_waves == 1 { TYPE_LOADS[1] } else { 0.0 };
+            let fits = |best: &Backend| qry.probe_waves > 1 && best.load() + qry.load <= best.max;
             let enough = |best: &Backend| best.load() <= light.max(best.max / 10.0) || fits(best);
-            if best.is_some_and(enough) || qry.waves >= WAVES {
+            if best.is_some_and(enough) || qry.probe_waves >= MAX_PROBE_WAVES {
                 // What was found, in maxima: the next queries may be turned away for it without a probe.
-                let found = best.filter(|at| at.probed.is_none()).map(|at| at.load() / at.max.max(1e-9));
-                self.strain = found.map_or(self.strain, |found| (now_us, found.min(BEARS * 2.0)));
+                let found =
+                    best.filter(|at| at.probe_in_flight.is_none()).map(|at| at.load() / at.max.max(1e-9));
+                self.probed_load =
+                    found.map_or(self.probed_load, |found| (now_us, found.min(OVERLOAD_FACTOR * 2.0)));
                 return found.is_some() || best.is_none();
             }
             let fit = |at: &u32| {
                 let backend = &self.fleet[at];
-                let worth_it = best.is_none_or(|best| self.toll(qry, backend) < best.load());
-                worth_it && backend.found < backend.max * BEARS && !qry.asked.contains(at) && usable(&backend)
+                let worth_it = best.is_none_or(|best| self.placement_cost(qry, backend) < best.load());
+                worth_it
+                    && backend.found < backend.max * OVERLOAD_FACTOR
+                    && !qry.asked.contains(at)
+                    && usable(&backend)
             };
-            let (kind, bound) = (qry.kind, qry.binding().is_some());
+            let (kind, bound) = (qry.kind, qry.binding_execution().is_some());
             let group = || self.groups[kind].iter().map(|member| member.backend).collect();
-            let (waves, from): (u32, Vec<u32>) = match qry.waves {
-                _ if bound => (WAVES, self.fleet.keys().copied().filter(fit).collect()),
-                0 if qry.load <= VALUES[3] => (1, group()),
+            let (waves, from): (u32, Vec<u32>) = match qry.probe_waves {
+                _ if bound => (MAX_PROBE_WAVES, self.fleet.keys().copied().filter(fit).collect()),
+                0 if qry.load <= TYPE_LOADS[3] => (1, group()),
                 0 | 1 => (2, group()),
-                2 => (3, self.part.clone()),
-                _ => (WAVES, self.beyond.clone()),
+                2 => (3, self.subset.clone()),
+                _ => (MAX_PROBE_WAVES, self.remote_subset.clone()),
             };
             let mut of: Vec<u32> = Vec::new();
             if waves == 1 {
@@ -305,10 +330,10 @@
                 of.extend(self.rotate(kind, &may));
             } else {
                 let mut rng = self.rng.clone();
-                for _ in 0..if from.is_empty() { 0 } else { WAVE * 4 } {
+                for _ in 0..if from.is_empty() { 0 } else { PROBES_PER_WAVE * 4 } {
                     let at = from[rng.usize(..from.len())];
-                    let drawn = rng.f64() * self.most_weight <= self.fleet[&at].listed.weight;
-                    if drawn && of.len() < WAVE && !of.contains(&at) && fit(&at) {
+                    let drawn = rng.f64() * self.max_weight <= self.fleet[&at].listed.weight;
+                    if drawn && of.len() < PROBES_PER_WAVE && !of.contains(&at) && fit(&at) {
                         of.push(at);
                     }
                 }
@@ -316,7 +341,7 @@
             }
             of.iter().for_each(|at| self.probe(*at, now_us, out));
             let qry = self.queries.get_mut(id).expect("waiting queries are live");
-            qry.waves = waves;
+            qry.probe_waves = waves;
             qry.asked.extend(of);
         }
     }
@@ -324,27 +349,30 @@
     /// One probe of a backend is out at a time, unless it never returns.
     fn probe(&mut self, id: u32, now_us: u64, out: &mut dyn Writer) {
         let backend = self.fleet.get_mut(&id).expect("only listed backends are probed");
-        if backend.probed.is_none_or(|(sent_us, _)| now_us > sent_us + PROBE_LOST_US) {
-            backend.probed = Some((now_us, self.last_serial + 1));
+        if backend.probe_in_flight.is_none_or(|(sent_us, _)| now_us > sent_us + PROBE_LOST_AFTER_US) {
+            backend.probe_in_flight = Some((now_us, self.last_serial + 1));
             out.probe(id);
         }
     }
 
     fn choose(&mut self, id: &str, now_us: u64, second: bool, out: &mut dyn Writer) -> Option<u32> {
-        if self.crowded(now_us) {
+        if self.inferred_overload(now_us) {
             return None;
         }
-        let asks = self.standing.probes && !second;
+        let asks = self.deployment.probes && !second;
         if asks && !self.ask(id, now_us, out) {
             return None;
         }
         let mut rng = self.rng.fork();
         let qry = &self.queries[id];
         // Of what probes found the less is borne the less important the query is.
-        let least = |at: &Backend| at.load() <= (at.max * BEARS * qry.importance).max(BEARS_LEAST);
-        let known = |at: &Backend| qry.asked.contains(&at.listed.backend) && at.probed.is_none() && least(at);
+        let least =
+            |at: &Backend| at.load() <= (at.max * OVERLOAD_FACTOR * qry.importance).max(ALWAYS_ACCEPTED_LOAD);
+        let known = |at: &Backend| {
+            qry.asked.contains(&at.listed.backend) && at.probe_in_flight.is_none() && least(at)
+        };
         let usable = |at: &Backend| (!asks || known(at)) && self.usable(qry, at, now_us);
-        let (kind, tail) = (qry.kind, qry.load > VALUES[3]);
+        let (kind, tail) = (qry.kind, qry.load > TYPE_LOADS[3]);
         let (mut load, mut max) = (0.0, 0.0);
         let mut own = Vec::new();
         for member in &self.groups[kind] {
@@ -359,7 +387,7 @@
             return self.rotate(kind, &own);
         }
         // A long tail is past every maximum: it fits where it would end within its SLO time.
-        let left_us = qry.on_time_us(now_us) as f64;
+        let left_us = qry.slo_remaining_us(now_us) as f64;
         let (load, work, reach) = (qry.load, qry.work, 1.0 + qry.importance);
         let fits = |at: &Backend| match tail {
             true => at.load() < at.max && at.work() + work <= at.pace * left_us,
@@ -370,8 +398,9 @@
         let mut roomiest = |among: &[u32], takes: &dyn Fn(&Backend) -> bool| {
             let (mut best, mut most, mut ties) = (None, f64::NEG_INFINITY, 0);
             for (id, backend) in among.iter().map(|id| (id, &self.fleet[id])).filter(|of| takes(of.1)) {
-                let (toll, ahead) = (self.toll(qry, backend), backend.work() + work);
-                let room = if tail { -(ahead + toll) / backend.pace } else { backend.room() - toll };
+                let (toll, ahead) = (self.placement_cost(qry, backend), backend.work() + work);
+                let room =
+                    if tail { -(ahead + toll) / backend.pace } else { backend.spare_capacity() - toll };
                 ties = if room == most { ties + 1 } else { 1 };
                 if room > most || room == most && rng.u32(0..ties) == 0 {
                     (best, most) = (Some(*id), room);
@@ -380,10 +409,10 @@
             best
         };
         // A bound query's group may lie outside the part.
-        let mut all = match qry.binding() {
+        let mut all = match qry.binding_execution() {
             _ if asks => qry.asked.clone(),
             Some(_) => self.fleet.keys().copied().collect(),
-            None => self.part.clone(),
+            None => self.subset.clone(),
         };
         all.retain(|id| usable(&self.fleet[id]));
         let first = roomiest(&own, &fits).or_else(|| roomiest(&all, &fits));
@@ -394,34 +423,34 @@
         self.last_serial += 1;
         let qry = self.queries.get_mut(qry).expect("placed queries are live");
         let backend = self.fleet.get_mut(&id).expect("only listed backends are used");
-        if backend.warmth(&self.cold, now_us) < 1.0 {
+        if backend.warmup_factor(&self.cold, now_us) < 1.0 {
             backend.cold_sent.retain(|sent| sent.0 + self.cold.window_us >= now_us);
             backend.cold_sent.push_back((now_us, qry.work));
         }
-        let (ahead, told) = (backend.work() + qry.work, self.standing.peers);
+        let (ahead, told) = (backend.work() + qry.work, self.deployment.peers);
         backend.held.insert(self.last_serial, Held::new(qry, now_us, ahead, told));
         let expected_us = (ahead / backend.pace.max(1e-9)) as u64;
-        let timeout_us = qry.timeout_us(now_us, self.standing.clocks.deadline_us);
-        out.execute(&qry.id, id, timeout_us, qry.repeats_for_us(&self.workloads, now_us));
+        let timeout_us = qry.timeout_us(now_us, self.deployment.clocks.deadline_us);
+        out.execute(&qry.id, id, timeout_us, qry.dedup_left_us(&self.workloads, now_us));
         qry.executions.push(Execution::new(id, self.last_serial, now_us, expected_us));
-        backend.tell(told, out);
+        backend.notify_peers(told, out);
     }
 
     fn place_waiting(&mut self, now_us: u64, out: &mut dyn Writer) {
         let mut full = false;
         for entry in self.waiting.clone() {
             let qry = &self.queries[&entry.2];
-            let last_chance = self.part.is_empty() || qry.left_us(now_us) <= 2 * SWEEP_US;
-            let (bound, on_time) = (qry.binding().is_some(), qry.left_us(now_us) > 0);
+            let last_chance = self.subset.is_empty() || qry.remaining_us(now_us) <= 2 * SWEEP_INTERVAL_US;
+            let (bound, on_time) = (qry.binding_execution().is_some(), qry.remaining_us(now_us) > 0);
             let place = if full || !on_time { None } else { self.choose(&entry.2, now_us, false, out) };
             if let Some(id) = place {
                 self.waiting.remove(&entry);
                 self.execute(&entry.2, id, now_us, out);
-            } else if last_chance || self.queries[&entry.2].asked_all(&self.fleet) {
+            } else if last_chance || self.queries[&entry.2].probing_done(&self.fleet) {
                 self.give_up(&entry.2, now_us, out);
             }
             // What even an unbound query finds full is full for the less important after it.
-            full |= place.is_none() && !bound && !self.standing.probes;
+            full |= place.is_none() && !bound && !self.deployment.probes;
         }
     }
 
@@ -431,10 +460,10 @@
         let qry = &self.queries[id];
         let workload = &self.workloads[qry.workload];
         // Past its SLO time another try would be for nothing.
-        let past = workload.tardy_importance <= 0.0 && qry.on_time_us(now_us) < self.target_us as u64;
+        let past = workload.tardy_importance <= 0.0 && qry.slo_remaining_us(now_us) < self.target_us as u64;
         let wait_us = if past { u64::MAX } else { wait_us };
         let all = workload.repeat == Repeat::Deduplicated && workload.group == DedupGroup::All;
-        let harmless = qry.binding().is_none() || workload.repeat == Repeat::Idempotent || all;
+        let harmless = qry.binding_execution().is_none() || workload.repeat == Repeat::Idempotent || all;
         match harmless {
             true => out.reject(&qry.id, wait_us.max(self.target_us as u64).min(qry.limits.max_backoff_us)),
             false => out.abort(&qry.id),
@@ -444,53 +473,59 @@
 
     /// Shuts a backend whose last few outcomes are bad and twice as bad as its peers': when all fail
     /// alike it is no backend's fault, and about a third of the part is shut at most.
-    fn judge(&mut self, id: u32, success: bool, now_us: u64) {
+    fn update_health(&mut self, id: u32, success: bool, now_us: u64) {
         let judged = self.fleet.get_mut(&id).expect("only listed backends are used");
         judged.failures = judged.failures << 1 | u8::from(!success);
         // Where the list is no proof, answers are: each takes one that was dropped a step up, a failure down.
-        let dropped = judged.steps > 0;
+        let dropped = judged.phase_out_steps > 0;
         if dropped {
-            judged.steps = if success { (judged.steps + 1).min(STEPS) } else { judged.steps - 1 };
+            judged.phase_out_steps = if success {
+                (judged.phase_out_steps + 1).min(PHASE_OUT_STEPS)
+            } else {
+                judged.phase_out_steps - 1
+            };
         }
         if success {
-            (judged.shut_for_us, judged.shut_until_us) = (0, 0);
+            (judged.ejection_us, judged.ejected_until_us) = (0, 0);
             return;
         }
-        if dropped && judged.steps == 0 {
-            return self.forget_gone();
+        if dropped && judged.phase_out_steps == 0 {
+            return self.remove_gone();
         }
         let recent = |backend: &Backend| backend.failures.count_ones();
-        let shut = self.ours().filter(|backend| backend.shut_for_us > 0).count() as u32;
-        let (ready, all): (u32, u32) = (self.part.len() as u32, self.ours().map(recent).sum());
+        let shut = self.subset_backends().filter(|backend| backend.ejection_us > 0).count() as u32;
+        let (ready, all): (u32, u32) = (self.subset.len() as u32, self.subset_backends().map(recent).sum());
         let backend = self.fleet.get_mut(&id).expect("only listed backends are used");
         // Where outcomes are few, one failure tells as much as three do elsewhere, and for longer.
-        let (least, rest_us) = if self.standing.probes { (1, 2_000_000) } else { (3, 500_000) };
+        let (least, rest_us) = if self.deployment.probes { (1, 2_000_000) } else { (3, 500_000) };
         let worse = recent(backend) >= least && recent(backend) * ready >= 2 * all && shut * 3 < ready;
-        if backend.shut_for_us > 0 || worse {
-            backend.shut_for_us = (backend.shut_for_us * 2).clamp(rest_us, rest_us * 8);
-            backend.shut_until_us = now_us + backend.shut_for_us;
+        if backend.ejection_us > 0 || worse {
+            backend.ejection_us = (backend.ejection_us * 2).clamp(rest_us, rest_us * 8);
+            backend.ejected_until_us = now_us + backend.ejection_us;
             backend.failures = 0;
         }
     }
 
     fn sweep(&mut self, now_us: u64, out: &mut dyn Writer) {
-        if now_us >= self.fade_us {
-            self.fade_us = now_us + MAXIMA_US;
+        if now_us >= self.next_decay_us {
+            self.next_decay_us = now_us + MAXIMA_INTERVAL_US;
             // Without new outcomes an old pace fades, or a backend that was slow once would stay unused.
-            self.fleet.values_mut().for_each(|backend| backend.fade(now_us, 5_000_000));
-            self.bears = (self.bears * CROWD_BACK).min(CROWD_TOLD);
+            self.fleet.values_mut().for_each(|backend| backend.decay_paces(now_us, 5_000_000));
+            self.execution_limit =
+                (self.execution_limit * LIMIT_RECOVERY_FACTOR).min(EXECUTION_LIMIT_REPORTED);
         }
         self.find_late(now_us);
         // Half the SLO time in vain here leaves too little for the rest: a prompt answer is better.
         let waiting = self.waiting.iter().map(|entry| &self.queries[&entry.2]);
         let stale = waiting.filter(|qry| now_us > qry.arrived_us + qry.slo_us / 2);
         // Where time-outs are longer than what a query is worth, its end is looked for here.
-        let ended = self.queries.values().filter(|qry| !qry.over && qry.out() && qry.left_us(now_us) == 0);
-        let ended = ended.filter(|_| self.standing.clocks.deadline_us > 0);
+        let ended =
+            self.queries.values().filter(|qry| !qry.finished && qry.out() && qry.remaining_us(now_us) == 0);
+        let ended = ended.filter(|_| self.deployment.clocks.deadline_us > 0);
         // What holds up its backend would be late in any case, and so would what waits behind it.
-        let holds: Vec<bool> = (0..self.failing.len()).map(|of| self.suspect(of).1).collect();
+        let holds: Vec<bool> = (0..self.failure_rates.len()).map(|of| self.suspect_workload(of).1).collect();
         let late = |qry: &&Query| {
-            !qry.over && holds[qry.workload] && qry.executions.iter().any(|at| at.out && at.late)
+            !qry.finished && holds[qry.workload] && qry.executions.iter().any(|at| at.out && at.late)
         };
         let late = self.queries.values().filter(late);
         for id in stale.chain(ended).chain(late).map(|qry| qry.id.clone()).collect::<BTreeSet<String>>() {
@@ -499,32 +534,32 @@
         // A second copy leaves a backend that is slow against its peers, never one among a slow fleet, within
         // a budget that overload spends at once: further executions must not feed it. Where copies may not
         // run side by side what is lost is called off first; an answered probe tells that it was passed.
-        let usual = mean_or(self.ours().map(|backend| backend.pace), 0.0);
+        let usual = mean_or(self.subset_backends().map(|backend| backend.pace), 0.0);
         let late = |qry: &Query| {
             let (ran, two) = (qry.executions.len(), qry.limits.may_duplicate);
-            let exec = qry.executions.last().filter(|exec| exec.out && !exec.called_off)?;
+            let exec = qry.executions.last().filter(|exec| exec.out && !exec.cancel_sent)?;
             let once = self.workloads[qry.workload].repeat == Repeat::NonIdempotent;
-            let may = if two { ran == 1 } else { self.standing.probes && qry.limits.cancel && !once };
+            let may = if two { ran == 1 } else { self.deployment.probes && qry.limits.cancel && !once };
             // One whose deadline is reached gets none: its time-out is on its way here.
-            let late_us = exec.sent_us + (2 * exec.expected_us).max(qry.slo_us / 3);
-            let may = may && !self.suspect(qry.workload).0;
-            let due = may && !qry.over && qry.may_go_on(now_us) && now_us > late_us;
+            let late_us = exec.sent_us + (2 * exec.expected_duration_us).max(qry.slo_us / 3);
+            let may = may && !self.suspect_workload(qry.workload).0;
+            let due = may && !qry.finished && qry.may_retry(now_us) && now_us > late_us;
             due.then(|| (qry.id.clone(), exec.backend, exec.serial, two))
         };
         for (id, at, serial, two) in self.queries.values().filter_map(late).collect::<Vec<_>>() {
             let backend = &self.fleet[&at];
             let lost = backend.held.get(&serial).is_some_and(|held| held.lost);
             let copy = two && (lost || backend.pace * 2.0 < usual);
-            if self.further < 1.0 {
+            if self.retry_budget < 1.0 {
                 break;
             } else if !two && lost {
                 let qry = self.queries.get_mut(&id).expect("late queries are live");
                 out.cancel(&id, qry.executions.len() as u32 - 1);
-                qry.executions.last_mut().expect("one is late").called_off = true;
-            } else if !two && backend.passed <= serial {
+                qry.executions.last_mut().expect("one is late").cancel_sent = true;
+            } else if !two && backend.last_completed_serial <= serial {
                 self.probe(at, now_us, out);
             } else if let Some(to) = copy.then(|| self.choose(&id, now_us, true, out)).flatten() {
-                self.further -= 1.0;
+                self.retry_budget -= 1.0;
                 self.execute(&id, to, now_us, out);
             }
         }
@@ -544,43 +579,43 @@
         let b = &mut *self.balancer;
         let about = b.workloads.get(workload).ok_or_else(|| format!("unknown workload {workload}"))?;
         let (slo_us, tardy) = (about.slo_us, about.tardy_importance);
-        let mut importance = about.importance / b.most_importance;
-        if !b.tenants.get_mut(tenant).is_none_or(|share| share.take(self.now_us)) {
-            importance *= b.tenants[tenant].beyond;
+        let mut importance = about.importance / b.max_importance;
+        if !b.tenants.get_mut(tenant).is_none_or(|share| share.try_take(self.now_us)) {
+            importance *= b.tenants[tenant].over_quota_importance;
         }
-        hint_us.into_iter().for_each(|hint_us| b.hinted(hint_us as f64));
+        hint_us.into_iter().for_each(|hint_us| b.record_hint(hint_us as f64));
         let units = hint_us.filter(|_| b.unit_us > 0.0).map(|hint_us| hint_us as f64 / b.unit_us);
-        let kind = CUTS.iter().filter(|cut| units.is_some_and(|units| units >= **cut)).count();
+        let kind = TYPE_CUTOFFS.iter().filter(|cut| units.is_some_and(|units| units >= **cut)).count();
         // The exception for long tails: past the heaviest value a query counts what its hint says.
-        let load = units.filter(|_| kind == 3).map_or(VALUES[kind], |units| units.max(VALUES[3]));
+        let load = units.filter(|_| kind == 3).map_or(TYPE_LOADS[kind], |units| units.max(TYPE_LOADS[3]));
         b.traffic[kind] += load;
         // Some cannot end in time even on the fastest backend: they would only keep it from the others.
-        let fastest = b.speeds.at(0.9).filter(|_| b.speeds.len() >= ENOUGH);
+        let fastest = b.speeds.at(0.9).filter(|_| b.speeds.len() >= MIN_SPEED_SAMPLES);
         let takes_us = hint_us.zip(fastest).map_or(0.0, |(hint, fastest)| hint as f64 * 1e3 / fastest);
         if takes_us > slo_us as f64 {
             importance *= tardy;
         }
         // What is late earns nothing: it would only keep its backend from others. Probing proxies move it.
-        let late = tardy <= 0.0 && !b.standing.probes && b.limits.max_backoff_us > 0;
-        b.further = (b.further + 0.1).min(20.0);
+        let late = tardy <= 0.0 && !b.deployment.probes && b.limits.max_backoff_us > 0;
+        b.retry_budget = (b.retry_budget + 0.1).min(20.0);
         let mut qry = Query::new(id, b.last_serial + 1, workload, self.now_us, b.limits);
         (qry.kind, qry.load, qry.work) = (kind, load, units.unwrap_or(load));
         (qry.slo_us, qry.importance) = (slo_us, importance);
-        qry.time(ttl_us, b.standing.clocks.deadline_us, late);
+        qry.set_deadline(ttl_us, b.deployment.clocks.deadline_us, late);
         // What would only wait for a buffer is not executed, and is told when one is free.
         let unread = b.unread.until_us > qry.deadline_us;
-        let (left_us, place) = (qry.left_us(self.now_us), qry.place());
-        b.hold(qry);
+        let (left_us, place) = (qry.remaining_us(self.now_us), qry.queue_key());
+        b.admit(qry);
         // By chance, from a fiftieth of the SLO time in expected wait to an eighth; the cheap wait longer.
-        let chance = if b.standing.probes {
-            let age_us = self.now_us.saturating_sub(b.strain.0) as f64;
-            let strain = b.strain.1 * (1.0 - age_us / STRAIN_US).max(0.0);
-            strain / (BEARS * importance.max(1e-9)) - 0.9
+        let chance = if b.deployment.probes {
+            let age_us = self.now_us.saturating_sub(b.probed_load.0) as f64;
+            let strain = b.probed_load.1 * (1.0 - age_us / PROBED_LOAD_TTL_US).max(0.0);
+            strain / (OVERLOAD_FACTOR * importance.max(1e-9)) - 0.9
         } else {
             (b.expected_wait_us(place.0) / slo_us.max(1) as f64 - 0.02) / 0.1
         };
-        let (suspect, holds_up) = b.suspect(workload);
-        let rests = self.now_us < b.failing[workload].rests_until_us;
+        let (suspect, holds_up) = b.suspect_workload(workload);
+        let rests = self.now_us < b.failure_rates[workload].paused_until_us;
         let held_up =
             holds_up && (rests || b.queries.values().any(|qry| qry.workload == workload && qry.out()));
         // What brings down or hangs whoever takes it comes back as any other does: its first try is enough.
@@ -603,16 +638,16 @@
     ) {
         let (b, now_us) = (&mut *self.balancer, self.now_us);
         let Some(qry) = b.queries.get_mut(id) else { return };
-        let spent = qry.left_us(now_us) == 0;
+        let spent = qry.remaining_us(now_us) == 0;
         let Some(exec) = qry.executions.get_mut(execution as usize).filter(|exec| exec.out) else { return };
         let backend = b.fleet.get_mut(&exec.backend).expect("only listed backends are used");
         // Where clocks differ a client's time may end before ours: that is no backend's fault. What was
         // called off at the end of its worth stands for the time-out that it did not get.
-        let error_us = b.standing.clocks.deadline_us;
+        let error_us = b.deployment.clocks.deadline_us;
         let cut = error_us > 0 && matches!(ended, Ended::TimedOut | Ended::NotSent);
-        let cut = cut && now_us + SWEEP_US < qry.longest_us;
+        let cut = cut && now_us + SWEEP_INTERVAL_US < qry.longest_us;
         // Nor is it his that the buffers here were taken, and the time taken then is not his pace.
-        let unread = b.unread.seen_us > exec.sent_us;
+        let unread = b.unread.last_full_us > exec.sent_us;
         qry.deadline_us = if cut { qry.deadline_us.min(now_us) } else { qry.deadline_us };
         let gone = error_us > 0 && ended == Ended::Cancelled && spent;
         let ended = if gone { Ended::TimedOut } else { ended };
@@ -620,66 +655,71 @@
         let by_clock = qry.longest_us.saturating_sub(now_us) < error_us * 2 && backend.load() < backend.max;
         // Who breaks all he has in work has died: he comes back cold, whatever the list says so far.
         let breaks = ended == Ended::Dropped && !over && backend.listed.phase == Phase::Ready;
-        let (died, held_there) =
-            (breaks && backend.breaks(now_us), (backend.crowd() + DROPS as usize) as f64);
+        let (died, held_there) = (
+            breaks && backend.record_drop(now_us),
+            (backend.execution_count() + DEATH_DROPS as usize) as f64,
+        );
         if died && backend.since_us + b.cold.window_us < now_us {
             backend.died(now_us);
         }
         exec.out = false;
-        exec.may_have_run = !matches!(ended, Ended::TurnedAway | Ended::Unreachable | Ended::NotSent);
+        exec.may_have_run = !matches!(ended, Ended::Rejected | Ended::Unreachable | Ended::NotSent);
         let held = backend.held.remove(&exec.serial);
-        backend.tell(held.as_ref().is_some_and(|held| held.told), self.out);
-        backend.hear(report.unwrap_or_default());
-        report.and_then(|report| report.held).into_iter().for_each(|held| b.reported.add(held, 64));
+        backend.notify_peers(held.as_ref().is_some_and(|held| held.told), self.out);
+        backend.record_report(report.unwrap_or_default());
+        report.and_then(|report| report.held).into_iter().for_each(|held| b.reported_in_flight.add(held, 64));
         let completed = ended == Ended::Completed;
         let counts = completed || matches!(ended, Ended::TimedOut | Ended::Dropped | Ended::Errored);
-        b.unread.back_us = if completed { now_us } else { b.unread.back_us };
+        b.unread.last_response_us = if completed { now_us } else { b.unread.last_response_us };
         if counts && !exec.late && !unread {
-            b.failing[qry.workload].ended(completed, now_us + qry.slo_us * 4);
+            b.failure_rates[qry.workload].ended(completed, now_us + qry.slo_us * 4);
         }
-        let teaches = completed || ended == Ended::TimedOut && !b.standing.probes;
+        let teaches = completed || ended == Ended::TimedOut && !b.deployment.probes;
         if let Some(held) = held.filter(|_| teaches && !unread) {
-            backend.learn(held.ahead / took_us.max(1) as f64, 16, now_us);
+            backend.record_pace(held.work_at_send / took_us.max(1) as f64, 16, now_us);
             // What passed beyond its own work went to a crowd of others: stay away so that all take turns.
             let alone_us = b.speeds.at(0.9).map_or(0.0, |fastest| held.work * b.unit_us * 1e3 / fastest);
             let extra_us = (took_us as f64 - alone_us - b.target_us).clamp(0.0, 1e6);
-            let unseen = backend.sharers.len().saturating_sub(SHARED_BY) as f64;
-            backend.rest = (now_us, extra_us * unseen / 2.0);
+            let unseen = backend.sharing_peers.len().saturating_sub(PROXIES_PER_BACKEND) as f64;
+            backend.cooldown = (now_us, extra_us * unseen / 2.0);
         }
-        if ended == Ended::Unreachable || ended == Ended::TurnedAway && !by_clock {
+        if ended == Ended::Unreachable || ended == Ended::Rejected && !by_clock {
             // It says itself that it is full; as it answers at once it would else look the roomiest.
-            backend.shut_until_us = backend.shut_until_us.max(now_us + 2 * b.target_us as u64);
+            backend.ejected_until_us = backend.ejected_until_us.max(now_us + 2 * b.target_us as u64);
         }
-        let lost = b.standing.probes && (ended == Ended::TimedOut || exec.called_off);
+        let lost = b.deployment.probes && (ended == Ended::TimedOut || exec.cancel_sent);
         backend.failures = backend.failures << u8::from(lost) | u8::from(lost);
-        backend.passed = backend.passed.max(if completed { exec.serial } else { 0 });
+        backend.last_completed_serial =
+            backend.last_completed_serial.max(if completed { exec.serial } else { 0 });
         if completed && b.unit_us > 0.0 {
             b.speeds.record(qry.work * b.unit_us * 1e3 / took_us.max(1) as f64, 256);
         }
-        let (judged, closed, out) = (exec.backend, over || qry.over, qry.out());
-        (qry.waves, qry.asked) = (0, Vec::new());
-        let untold = matches!(ended, Ended::Cancelled | Ended::NotSent | Ended::TurnedAway | Ended::Stale);
+        let (judged, closed, out) = (exec.backend, over || qry.finished, qry.out());
+        (qry.probe_waves, qry.asked) = (0, Vec::new());
+        let untold = matches!(ended, Ended::Cancelled | Ended::NotSent | Ended::Rejected | Ended::Stale);
         if !(lost || cut || untold || unread && ended == Ended::TimedOut) {
-            b.judge(judged, completed, now_us);
+            b.update_health(judged, completed, now_us);
         }
         if died {
-            b.fell(Some(held_there));
+            b.lower_execution_limit(Some(held_there));
         }
         if closed {
             b.close(id, self.out);
         } else if !out {
             let qry = &b.queries[id];
             // What reached no backend, or hardly, burdens none, so it takes nothing from the budget.
-            let untaken = b.standing.probes && ended == Ended::TurnedAway;
+            let untaken = b.deployment.probes && ended == Ended::Rejected;
             let price = if untaken || matches!(ended, Ended::Unreachable | Ended::Stale) { 0.0 } else { 1.0 };
             let once = qry.executions.len() < 2 && qry.importance >= 1.0;
-            let more = qry.may_go_on(now_us)
-                && (once || !b.suspect(qry.workload).0)
-                && b.further >= price
-                && b.fleet.values().any(|other| other.ready() && b.allowed(qry, &other.listed, now_us));
+            let more = qry.may_retry(now_us)
+                && (once || !b.suspect_workload(qry.workload).0)
+                && b.retry_budget >= price
+                && b.fleet
+                    .values()
+                    .any(|other| other.ready() && b.repeat_allowed(qry, &other.listed, now_us));
             if more {
-                b.further -= price;
-                b.waiting.insert(qry.place());
+                b.retry_budget -= price;
+                b.waiting.insert(qry.queue_key());
             } else {
                 b.give_up(id, now_us, self.out);
             }
@@ -687,24 +727,27 @@
     }
 
     /// A probe is back: what it waited for, or what the backend says it holds, is the load there.
-    pub fn probed(&mut self, id: u32, ended: Ended, took_us: u64, report: Option<LoadReport>) {
+    pub fn probe_outcome(&mut self, id: u32, ended: Ended, took_us: u64, report: Option<LoadReport>) {
         let (b, now_us) = (&mut *self.balancer, self.now_us);
-        let Some(backend) = b.fleet.get_mut(&id).filter(|backend| backend.probed.is_some()) else { return };
-        b.quickest_us = if ended == Ended::Completed { b.quickest_us.min(took_us) } else { b.quickest_us };
+        let Some(backend) = b.fleet.get_mut(&id).filter(|backend| backend.probe_in_flight.is_some()) else {
+            return;
+        };
+        b.fastest_probe_us =
+            if ended == Ended::Completed { b.fastest_probe_us.min(took_us) } else { b.fastest_probe_us };
         // One that took no more probes is well past its maximum, one that said nothing farther.
-        let maxima = if ended == Ended::TurnedAway { 4.0 } else { 8.0 };
+        let maxima = if ended == Ended::Rejected { 4.0 } else { 8.0 };
         let silent = (ended != Ended::Completed).then_some(maxima * backend.max);
-        let waited_us = took_us.saturating_sub(b.quickest_us);
-        backend.see(now_us, waited_us, report.unwrap_or_default(), VALUES[1], silent);
+        let waited_us = took_us.saturating_sub(b.fastest_probe_us);
+        backend.record_probe(now_us, waited_us, report.unwrap_or_default(), TYPE_LOADS[1], silent);
         let errors = report.and_then(|report| report.errors_per_s);
-        let fails = errors.is_some_and(|errors| errors * VALUES[1] > backend.pace * 1e6 / 16.0);
+        let fails = errors.is_some_and(|errors| errors * TYPE_LOADS[1] > backend.pace * 1e6 / 16.0);
         if fails || matches!(ended, Ended::TimedOut | Ended::Unreachable | Ended::Dropped) {
-            b.judge(id, false, now_us);
+            b.update_health(id, false, now_us);
         }
     }
 
     /// Asks anew after a jittered wait, as long as `retry` says.
-    pub fn list_lost(&mut self, failure: Failure) {
+    pub fn list_failed(&mut self, failure: Failure) {
         let b = &mut *self.balancer;
         self.out.wake(b.rng.u64(b.retry.failed(failure)), "ask");
     }
@@ -713,10 +756,10 @@
         // Parts are cut from the whole list: where they are, one that leaves moves them all.
         let b = &mut *self.balancer;
         // Probes show what many others' queries weigh: who is one of few knows a large part himself.
-        b.standing.probes &= b.began_us > 0 || b.balancers > items.len();
+        b.deployment.probes &= b.first_list_us > 0 || b.proxy_count > items.len();
         let (came, left, held) = b.listed(whole, items, self.now_us);
-        b.fell(held);
-        if came || left && b.balancers > SHARED_BY || b.groups.iter().any(Vec::is_empty) {
+        b.lower_execution_limit(held);
+        if came || left && b.proxy_count > PROXIES_PER_BACKEND || b.groups.iter().any(Vec::is_empty) {
             b.regroup_us = self.now_us;
         }
     }
--- a/src/inbox.rs
+++ b/src/inbox.rs
@@ -1,12 +1,13 @@
-//! Takes in news for the module: what needs no decision is remembered here, the rest is decided in `balance`.
-//! Hosts call it inside `Balancer::round`.
+//! Receives the host's events. Events that need no decision only update the state here; the others are
+//! handled in `balance`. Hosts call it inside `Balancer::round`.
 
 use crate::interface::Writer;
 use crate::kept::Balancer;
 
-/// The last note may be lost: what was told counts no longer than this.
-const TOLD_US: u64 = 4_000_000;
+/// How long a peer's note counts. The note that would revoke it may be lost.
+const PEER_NOTE_TTL_US: u64 = 4_000_000;
 
+/// Receives the events of one batch.
 pub struct Inbox<'a> {
     pub(crate) balancer: &'a mut Balancer,
     pub(crate) out: &'a mut dyn Writer,
@@ -14,38 +15,41 @@
 }
 
 impl Inbox<'_> {
-    /// A peer tells of all that it has out on a backend that both use.
+    /// A peer reports all its executions in flight on a backend that both use.
     pub fn told(&mut self, peer: u32, note: &str) {
-        self.balancer.told(peer, note, self.now_us + TOLD_US);
+        self.balancer.told(peer, note, self.now_us + PEER_NOTE_TTL_US);
     }
 
-    /// A stream has started: the answer is the client's now and nothing is left to decide.
+    /// The response has begun to stream to the client: no decision about the query is left.
     pub fn begun(&mut self, id: &str) {
-        self.balancer.queries.get_mut(id).into_iter().for_each(|qry| qry.over = true);
+        self.balancer.queries.get_mut(id).into_iter().for_each(|qry| qry.finished = true);
     }
 
+    /// The client has cancelled its query.
     pub fn withdrawn(&mut self, id: &str) {
         self.balancer.close(id, self.out);
     }
 
-    pub fn woken(&mut self, token: &str) {
+    /// A timer set through `Writer::wake` has fired.
+    pub fn timer_fired(&mut self, token: &str) {
         match token {
             "ask" => self.out.subscribe(),
-            _ => self.balancer.sweeping = false,
+            _ => self.balancer.sweep_scheduled = false,
         }
     }
 
-    /// The latest execution's body has begun to go, so that there is no other, or has gone whole.
-    pub fn sending(&mut self, id: &str, whole: bool) {
-        self.balancer.sending(id, whole, self.now_us);
+    /// The body of the latest execution has begun to be sent, after which no further execution is possible, or
+    /// has been sent completely.
+    pub fn body_progress(&mut self, id: &str, whole: bool) {
+        self.balancer.body_progress(id, whole, self.now_us);
     }
 
-    /// Operators take a backend out, or back, whatever the list says of it.
-    pub fn by_hand(&mut self, id: u32, out: bool) {
-        self.balancer.by_hand(id, out, self.now_us);
+    /// Operators drain a backend by hand, or return it to service, whatever its state in the list.
+    pub fn set_manual_drain(&mut self, id: u32, out: bool) {
+        self.balancer.set_manual_drain(id, out, self.now_us);
     }
 
-    /// How many processes stand for this proxy: during an upgrade each keeps a part of its share.
+    /// How many processes run as this proxy: during an upgrade each uses an equal part of its share.
     pub fn processes(&mut self, count: usize) {
         self.balancer.processes = count;
     }
--- a/src/kept.rs
+++ b/src/kept.rs
@@ -8,30 +8,32 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Queries a tenant may save up at the least: a share of a quota over many proxies holds less than one.
-pub(crate) const SHARE_KEPT: f64 = 4.0;
+pub(crate) const MIN_QUOTA_BURST: f64 = 4.0;
 /// Waves of candidates that a query has probed for it: rotation's next, its group, the part, those beyond.
-pub const WAVES: u32 = 4;
+pub const MAX_PROBE_WAVES: u32 = 4;
 /// Of the use of a backend that the list drops.
-pub const STEPS: u8 = 4;
+pub const PHASE_OUT_STEPS: u8 = 4;
 /// Executions dropped together that tell a death from answers that break off one by one, and within what time: an answer
 /// that can't be read, or breaks off, is dropped too, and says nothing of the others.
-pub const DROPS: u32 = 3;
-const DROPS_US: u64 = 10_000;
+pub const DEATH_DROPS: u32 = 3;
+const DEATH_WINDOW_US: u64 = 10_000;
 /// Longer than any body is on its way: an execution that counts as sent then is late for nobody.
-pub const A_LONG_TIME_US: u64 = 86_400_000_000;
+pub const FAR_FUTURE_US: u64 = 86_400_000_000;
 /// What a backend takes on at the most before any outcome tells.
-pub const DEFAULT_MAX: f64 = 8.0;
+pub const DEFAULT_MAX_LOAD: f64 = 8.0;
 
 /// A small histogram of few coarse bins.
-pub struct Bins(Histogram<u32>);
+pub struct DecayingHistogram(Histogram<u32>);
 
-impl Default for Bins {
+impl Default for DecayingHistogram {
     fn default() -> Self {
-        Bins(Histogram::new_with_bounds(1, 1 << 30, 1).expect("the bounds are constant and sound"))
+        DecayingHistogram(
+            Histogram::new_with_bounds(1, 1 << 30, 1).expect("the bounds are constant and sound"),
+        )
     }
 }
 
-impl Bins {
+impl DecayingHistogram {
     /// Records one value; once `most` are kept, all count half, so that the newer ones lead.
     pub fn record(&mut self, value: f64, most: u64) {
         self.0.saturating_record(value as u64);
@@ -79,9 +81,9 @@
     pub backend: u32,
     pub serial: u64,
     pub sent_us: u64,
-    pub expected_us: u64,
+    pub expected_duration_us: u64,
     pub out: bool,
-    pub called_off: bool,
+    pub cancel_sent: bool,
     pub may_have_run: bool,
     /// Out for so long that it counts as failed already.
     pub late: bool,
@@ -90,7 +92,16 @@
 impl Execution {
     pub fn new(backend: u32, serial: u64, sent_us: u64, expected_us: u64) -> Self {
         let (called_off, may_have_run, late) = (false, false, false);
-        Execution { backend, serial, sent_us, expected_us, out: true, called_off, may_have_run, late }
+        Execution {
+            backend,
+            serial,
+            sent_us,
+            expected_duration_us: expected_us,
+            out: true,
+            cancel_sent: called_off,
+            may_have_run,
+            late,
+        }
     }
 }
 
@@ -106,7 +117,7 @@
     pub work: f64,
     /// The candidates probed for it, wave by wave, and how many waves there were.
     pub asked: Vec<u32>,
-    pub waves: u32,
+    pub probe_waves: u32,
     pub arrived_us: u64,
     pub slo_us: u64,
     /// Until when it is worth an answer, and the longest that its client may wait: see `Query::time`.
@@ -114,7 +125,7 @@
     pub longest_us: u64,
     pub importance: f64,
     pub executions: Vec<Execution>,
-    pub over: bool,
+    pub finished: bool,
     /// Those in force when it came.
     pub limits: ExecutionLimits,
 }
@@ -125,14 +136,14 @@
     }
 
     /// The execution that binds all further ones: the first that is out or may have run.
-    pub fn binding(&self) -> Option<&Execution> {
+    pub fn binding_execution(&self) -> Option<&Execution> {
         self.executions.iter().find(|exec| exec.out || exec.may_have_run)
     }
 
     /// For how long a further execution may begin, as long as its repeats are known.
-    pub fn repeats_for_us(&self, workloads: &[Workload], now_us: u64) -> u64 {
+    pub fn dedup_left_us(&self, workloads: &[Workload], now_us: u64) -> u64 {
         let workload = &workloads[self.workload];
-        let binding = self.binding().filter(|_| workload.repeat == Repeat::Deduplicated);
+        let binding = self.binding_execution().filter(|_| workload.repeat == Repeat::Deduplicated);
         let until_us = binding.map_or(u64::MAX, |first| first.sent_us.saturating_add(workload.window_us));
         until_us.saturating_sub(now_us)
     }
@@ -142,40 +153,48 @@
     }
 
     /// Whether its number of executions and its time allow one more.
-    pub fn may_go_on(&self, now_us: u64) -> bool {
+    pub fn may_retry(&self, now_us: u64) -> bool {
         self.executions.len() < self.limits.max_executions as usize && now_us < self.deadline_us
     }
 
     /// Whether all waves of candidates were probed for it and none is waited for.
-    pub fn asked_all(&self, fleet: &BTreeMap<u32, Backend>) -> bool {
-        self.waves >= WAVES && self.asked.iter().all(|at| fleet[at].probed.is_none())
+    pub fn probing_done(&self, fleet: &BTreeMap<u32, Backend>) -> bool {
+        self.probe_waves >= MAX_PROBE_WAVES && self.asked.iter().all(|at| fleet[at].probe_in_flight.is_none())
     }
 
     /// Its place among the waiting: the more important before, then the older.
-    pub fn place(&self) -> Place {
+    pub fn queue_key(&self) -> QueueKey {
         (Reverse((self.importance * 1e3) as u64), self.serial, self.id.clone())
     }
 }
 
-pub type Place = (Reverse<u64>, u64, String);
+pub type QueueKey = (Reverse<u64>, u64, String);
 
 /// An execution still out, with our work on the backend once it was added.
 pub struct Held {
     pub sent_us: u64,
     pub load: f64,
     pub work: f64,
-    pub ahead: f64,
+    pub work_at_send: f64,
     /// Whether the sharers are told of it.
     pub told: bool,
     /// Held to hang on a dead connection: no load of the backend's.
     pub lost: bool,
     /// Its body is still on the way: the backend has not begun.
-    pub coming: bool,
+    pub body_incomplete: bool,
 }
 
 impl Held {
     pub fn new(qry: &Query, sent_us: u64, ahead: f64, told: bool) -> Self {
-        Held { sent_us, load: qry.load, work: qry.work, ahead, told, lost: false, coming: false }
+        Held {
+            sent_us,
+            load: qry.load,
+            work: qry.work,
+            work_at_send: ahead,
+            told,
+            lost: false,
+            body_incomplete: false,
+        }
     }
 }
 
@@ -192,65 +211,65 @@
 impl Told {
     /// Notes overtake one another on their way: only one of the next half round is newer.
     pub fn is_newer_than(&self, last: &Told) -> bool {
-        (1..SIGNS / 2).contains(&((SIGNS + self.turn - last.turn) % SIGNS))
+        (1..NOTE_BASE / 2).contains(&((NOTE_BASE + self.turn - last.turn) % NOTE_BASE))
     }
 }
 
 /// How many values a sign takes: the visible characters.
-pub(crate) const SIGNS: u8 = 94;
+pub(crate) const NOTE_BASE: u8 = 94;
 
 /// A note between proxies: the end of a backend's id, then four signs: the note's turn, how many of its
 /// sender's executions are out there, and two for their work in quarters of a load unit.
-pub fn read_note(note: &str) -> Option<(u32, Told)> {
+pub fn parse_note(note: &str) -> Option<(u32, Told)> {
     let signs = note.len().checked_sub(4)?;
     let short = u32::from_str_radix(note.get(..signs)?, 16).ok()?;
-    let sign = |place: usize| note.as_bytes()[signs + place].checked_sub(33).filter(|sign| *sign < SIGNS);
+    let sign = |place: usize| note.as_bytes()[signs + place].checked_sub(33).filter(|sign| *sign < NOTE_BASE);
     let (turn, count) = (sign(0)?, usize::from(sign(1)?));
-    let work = f64::from(u32::from(sign(2)?) * u32::from(SIGNS) + u32::from(sign(3)?)) / 4.0;
+    let work = f64::from(u32::from(sign(2)?) * u32::from(NOTE_BASE) + u32::from(sign(3)?)) / 4.0;
     Some((short, Told { peer: 0, turn, count, work, until_us: 0 }))
 }
 
 #[derive(Default)]
 pub struct Backend {
     /// When the first of the last executions dropped together was, and how many were.
-    drops: (u64, u32),
+    recent_drops: (u64, u32),
     pub listed: Listed,
     /// Taken out by hand, whatever the list says.
     pub out: bool,
     /// Whether it was listed as draining since its start.
     pub drained: bool,
     /// Steps of the way to full use that are left to one which the list has dropped without draining.
-    pub steps: u8,
+    pub phase_out_steps: u8,
     /// When it last started, or came back from those out by hand with no start told since; 0 means long ago.
     pub since_us: u64,
     /// When this proxy heard of that start.
-    pub heard_us: u64,
+    pub start_heard_us: u64,
     pub held: BTreeMap<u64, Held>,
     /// The other proxies that use it, and what they have told of.
-    pub sharers: Vec<u32>,
+    pub sharing_peers: Vec<u32>,
     pub told: Vec<Told>,
     pub turn: u8,
     pub utilisation: Option<f64>,
     /// What counts as its utilisation: its own report, else the mean of the reports there are.
-    pub used: f64,
-    pub paces: Bins,
+    pub effective_utilisation: f64,
+    pub paces: DecayingHistogram,
     /// The middle of the paces, kept since it is asked for far more often than it moves.
-    pub learned: Option<f64>,
+    pub median_pace: Option<f64>,
     pub sampled_us: u64,
     /// The latest execution that has completed: what was sent before it and is still out was passed by.
-    pub passed: u64,
+    pub last_completed_serial: u64,
     /// Work a microsecond as last set from the outcomes, and the maximum that follows from it.
     pub pace: f64,
     pub max: f64,
     /// The last outcomes, one bit each, newest lowest; a set bit is a failure.
     pub failures: u8,
-    pub shut_until_us: u64,
-    pub shut_for_us: u64,
+    pub ejected_until_us: u64,
+    pub ejection_us: u64,
     /// Since when it is left alone for being crowded, and how long.
-    pub rest: (u64, f64),
+    pub cooldown: (u64, f64),
     pub cold_sent: VecDeque<(u64, f64)>,
     /// When the probe that is out left, and how many executions had left by then.
-    pub probed: Option<(u64, u64)>,
+    pub probe_in_flight: Option<(u64, u64)>,
     /// What the last probe found there beside ours, and when.
     pub seen: (u64, f64),
     /// What is left of it by now, as last set.
@@ -259,36 +278,43 @@
 
 impl Backend {
     /// One more execution dropped: whether so many were at once that all in work there broke, not one answer alone.
-    pub fn breaks(&mut self, now_us: u64) -> bool {
-        if now_us > self.drops.0 + DROPS_US {
-            self.drops = (now_us, 0);
+    pub fn record_drop(&mut self, now_us: u64) -> bool {
+        if now_us > self.recent_drops.0 + DEATH_WINDOW_US {
+            self.recent_drops = (now_us, 0);
         }
-        self.drops.1 += 1;
-        self.drops.1 == DROPS
+        self.recent_drops.1 += 1;
+        self.recent_drops.1 == DEATH_DROPS
     }
 
     /// Breaks what it has in work: it will be back as one that has just started, but still as listed and as taken
     /// out by hand.
     pub fn died(&mut self, now_us: u64) {
-        let (drained, out, steps) = (self.drained, self.out, self.steps);
-        self.start_anew(now_us, now_us);
-        (self.drained, self.out, self.steps) = (drained, out, steps);
+        let (drained, out, steps) = (self.drained, self.out, self.phase_out_steps);
+        self.restart(now_us, now_us);
+        (self.drained, self.out, self.phase_out_steps) = (drained, out, steps);
     }
 
     /// What started anew is judged and learned anew; what is still out there counts on.
-    fn start_anew(&mut self, since_us: u64, heard_us: u64) {
+    fn restart(&mut self, since_us: u64, heard_us: u64) {
         let (listed, held) = (self.listed, std::mem::take(&mut self.held));
-        let sharers = std::mem::take(&mut self.sharers);
-        *self = Backend { listed, held, since_us, heard_us, sharers, ..Backend::default() };
+        let sharers = std::mem::take(&mut self.sharing_peers);
+        *self = Backend {
+            listed,
+            held,
+            since_us,
+            start_heard_us: heard_us,
+            sharing_peers: sharers,
+            ..Backend::default()
+        };
     }
 
     /// The work sent there while cold, since then.
-    pub fn sent_since(&self, since_us: u64) -> f64 {
+    pub fn cold_work_since(&self, since_us: u64) -> f64 {
         self.cold_sent.iter().filter(|sent| sent.0 >= since_us).map(|sent| sent.1).sum()
     }
 
     pub fn ready(&self) -> bool {
-        (self.listed.phase == Phase::Ready || self.steps > 0) && !self.out
+        (self.listed.phase == Phase::Ready || self.phase_out_steps > 0) && !self.out
     }
 
     /// Its weight in the list, where that says anything.
@@ -298,7 +324,7 @@
 
     /// Our executions that the backend is held to have.
     pub fn there(&self) -> impl Iterator<Item = &Held> {
-        self.held.values().filter(|held| !held.lost && !held.coming)
+        self.held.values().filter(|held| !held.lost && !held.body_incomplete)
     }
 
     pub fn idle(&self) -> bool {
@@ -307,68 +333,68 @@
 
     pub fn load(&self) -> f64 {
         let own: f64 = self.there().map(|held| held.load).sum();
-        own + self.others() + self.found + self.used * self.max
+        own + self.peer_work() + self.found + self.effective_utilisation * self.max
     }
 
     pub fn work(&self) -> f64 {
-        self.others() + self.found + self.there().map(|held| held.work).sum::<f64>()
+        self.peer_work() + self.found + self.there().map(|held| held.work).sum::<f64>()
     }
 
     /// Tells all who share it, where that is worth it, of what is out there: each note stands alone, as
     /// others may be lost or late.
-    pub fn tell(&mut self, worth: bool, out: &mut dyn Writer) {
+    pub fn notify_peers(&mut self, worth: bool, out: &mut dyn Writer) {
         if !worth {
             return;
         }
-        self.turn = (self.turn + 1) % SIGNS;
-        let sign = |value: u32| char::from(33 + value.min(u32::from(SIGNS) - 1) as u8);
+        self.turn = (self.turn + 1) % NOTE_BASE;
+        let sign = |value: u32| char::from(33 + value.min(u32::from(NOTE_BASE) - 1) as u8);
         let told = || self.there().filter(|held| held.told);
         let work = (told().map(|held| held.work).sum::<f64>() * 4.0).round();
-        let work = (work as u32).clamp(u32::from(told().count() > 0), u32::from(SIGNS).pow(2) - 1);
-        let (high, low) = (work / u32::from(SIGNS), work % u32::from(SIGNS));
+        let work = (work as u32).clamp(u32::from(told().count() > 0), u32::from(NOTE_BASE).pow(2) - 1);
+        let (high, low) = (work / u32::from(NOTE_BASE), work % u32::from(NOTE_BASE));
         let short = self.listed.backend & 0xffff;
         let signs = [u32::from(self.turn), told().count() as u32, high, low].map(sign);
         let note = format!("{short:x}{}", String::from_iter(signs));
-        self.sharers.iter().for_each(|peer| out.tell(*peer, &note));
+        self.sharing_peers.iter().for_each(|peer| out.send_note(*peer, &note));
     }
 
     /// How many executions are out there, as far as is known.
-    pub fn crowd(&self) -> usize {
+    pub fn execution_count(&self) -> usize {
         self.there().count() + self.told.iter().map(|told| told.count).sum::<usize>()
     }
 
     /// The work that peers have told of.
-    pub fn others(&self) -> f64 {
+    pub fn peer_work(&self) -> f64 {
         self.told.iter().map(|told| told.work).sum()
     }
 
-    pub fn room(&self) -> f64 {
+    pub fn spare_capacity(&self) -> f64 {
         self.max - self.load()
     }
 
-    pub fn learn(&mut self, pace: f64, most: u64, now_us: u64) {
+    pub fn record_pace(&mut self, pace: f64, most: u64, now_us: u64) {
         self.paces.record(pace * 1e9, most);
-        self.sampled(now_us);
+        self.refresh_median_pace(now_us);
     }
 
-    pub(crate) fn sampled(&mut self, now_us: u64) {
-        self.learned = self.paces.at(0.5).map(|pace| pace / 1e9);
+    pub(crate) fn refresh_median_pace(&mut self, now_us: u64) {
+        self.median_pace = self.paces.at(0.5).map(|pace| pace / 1e9);
         self.sampled_us = now_us;
     }
 
-    pub fn hear(&mut self, report: LoadReport) {
+    pub fn record_report(&mut self, report: LoadReport) {
         self.utilisation = report.utilisation.or(self.utilisation);
     }
 }
 
 /// A mean that goes with the newer values.
 #[derive(Default)]
-pub struct Mean {
+pub struct MovingAverage {
     pub mean: f64,
     pub count: u32,
 }
 
-impl Mean {
+impl MovingAverage {
     /// Adds one value; the last `most` or so count.
     pub fn add(&mut self, value: f64, most: u32) {
         self.count = (self.count + 1).min(most);
@@ -379,43 +405,48 @@
 /// What part of a workload's last executions failed, and how long it rests after the latest where it holds up
 /// its backends.
 #[derive(Default)]
-pub struct Failing {
+pub struct FailureRate {
     pub mean: f64,
     pub count: u32,
-    pub rests_until_us: u64,
+    pub paused_until_us: u64,
 }
 
-impl Failing {
+impl FailureRate {
     /// Counts one; where most failed a success counts for more, since few go out.
     pub fn ended(&mut self, completed: bool, rests_until_us: u64) {
         let most = if completed && self.mean > 0.5 { 8 } else { 24 };
         self.count = (self.count + 1).min(24);
         self.mean += (f64::from(u8::from(!completed)) - self.mean) / f64::from(self.count.min(most));
-        self.rests_until_us = if completed { 0 } else { rests_until_us };
+        self.paused_until_us = if completed { 0 } else { rests_until_us };
     }
 }
 
 /// Answers that clients read slowly, as far as it shows: when all buffers were last held by them, until when
 /// the next comes free at the latest, and when an answer last came back.
 #[derive(Default)]
-pub struct Unread {
-    pub seen_us: u64,
+pub struct UnreadResponses {
+    pub last_full_us: u64,
     pub until_us: u64,
-    pub back_us: u64,
+    pub last_response_us: u64,
 }
 
 /// What a tenant may still ask for within its share.
-pub struct Allowance {
-    pub per_us: f64,
+pub struct QuotaBucket {
+    pub rate_per_us: f64,
     pub left: f64,
-    pub filled_us: u64,
+    pub refilled_us: u64,
     /// What the importance beyond it is scaled by.
-    pub beyond: f64,
+    pub over_quota_importance: f64,
 }
 
-impl Allowance {
+impl QuotaBucket {
     pub fn new(per_s: f64, beyond: f64) -> Self {
-        Allowance { per_us: per_s / 1e6, left: per_s.max(SHARE_KEPT), filled_us: 0, beyond }
+        QuotaBucket {
+            rate_per_us: per_s / 1e6,
+            left: per_s.max(MIN_QUOTA_BURST),
+            refilled_us: 0,
+            over_quota_importance: beyond,
+        }
     }
 }
 
@@ -423,66 +454,66 @@
 #[derive(Default)]
 pub struct Balancer {
     pub(crate) rng: Rng,
-    pub(crate) lot: u64,
-    pub(crate) balancers: usize,
+    pub(crate) subset_seed: u64,
+    pub(crate) proxy_count: usize,
     pub(crate) number: usize,
     /// That stand for this proxy.
     pub(crate) processes: usize,
-    pub(crate) standing: Standing,
+    pub(crate) deployment: Deployment,
     /// The quickest probe, which found nothing to wait for.
-    pub(crate) quickest_us: u64,
+    pub(crate) fastest_probe_us: u64,
     /// The load, in maxima, that the last probes found, and when.
-    pub(crate) strain: (u64, f64),
+    pub(crate) probed_load: (u64, f64),
     /// When all maxima are set next, and when old paces fade.
-    pub(crate) maxima_us: u64,
-    pub(crate) fade_us: u64,
+    pub(crate) next_maxima_us: u64,
+    pub(crate) next_decay_us: u64,
     /// The pace usual for a list weight of 1, and the highest weight.
-    pub(crate) weight_pace: f64,
-    pub(crate) most_weight: f64,
+    pub(crate) pace_per_weight: f64,
+    pub(crate) max_weight: f64,
     /// The mean of the utilisations reported.
-    pub(crate) used: f64,
+    pub(crate) mean_utilisation: f64,
     /// The mean importance of a query, by its work.
-    pub(crate) usual_importance: f64,
+    pub(crate) mean_importance: f64,
     pub(crate) workloads: Vec<Workload>,
     pub(crate) limits: ExecutionLimits,
     pub(crate) cold: ColdRule,
-    pub(crate) tenants: Vec<Allowance>,
-    pub(crate) must_ask: bool,
+    pub(crate) tenants: Vec<QuotaBucket>,
+    pub(crate) must_subscribe: bool,
     pub(crate) retry: Retry,
     /// When the first list came.
-    pub(crate) began_us: u64,
+    pub(crate) first_list_us: u64,
     pub(crate) target_us: f64,
-    pub(crate) most_importance: f64,
+    pub(crate) max_importance: f64,
     pub(crate) slowest_pace: f64,
     pub(crate) fleet: BTreeMap<u32, Backend>,
     /// Who is out by hand, and since when: also those on no list.
     pub(crate) out: BTreeMap<u32, u64>,
     /// The backends that this proxy uses: all, or where proxies are many its part of the list.
-    pub(crate) part: Vec<u32>,
+    pub(crate) subset: Vec<u32>,
     /// Those outside its zone that a probing proxy may use.
-    pub(crate) beyond: Vec<u32>,
+    pub(crate) remote_subset: Vec<u32>,
     pub(crate) groups: [Vec<Member>; 4],
     pub(crate) regroup_us: u64,
-    pub(crate) regroup_gap_us: u64,
-    pub(crate) hints: Bins,
-    pub(crate) speeds: Bins,
+    pub(crate) regroup_interval_us: u64,
+    pub(crate) hints: DecayingHistogram,
+    pub(crate) speeds: DecayingHistogram,
     pub(crate) unit_us: f64,
     pub(crate) traffic: [f64; 4],
     pub(crate) queries: BTreeMap<String, Query>,
-    pub(crate) waiting: BTreeSet<Place>,
+    pub(crate) waiting: BTreeSet<QueueKey>,
     pub(crate) last_serial: u64,
-    pub(crate) further: f64,
+    pub(crate) retry_budget: f64,
     /// Queries that any backend is held to bear, by the restarts seen.
-    pub(crate) bears: f64,
+    pub(crate) execution_limit: f64,
     /// What this proxy had out as queries came, and what the backends' reports said they held.
-    pub(crate) own_out: Mean,
-    pub(crate) reported: Mean,
-    pub(crate) unread: Unread,
+    pub(crate) own_in_flight: MovingAverage,
+    pub(crate) reported_in_flight: MovingAverage,
+    pub(crate) unread: UnreadResponses,
     /// What part of each workload's executions failed of late.
-    pub(crate) failing: Vec<Failing>,
-    pub(crate) sweeping: bool,
+    pub(crate) failure_rates: Vec<FailureRate>,
+    pub(crate) sweep_scheduled: bool,
     /// Whether the next wake is a late one, as nothing waited.
-    pub(crate) calm: bool,
+    pub(crate) idle_sweep: bool,
 }
 
 impl Balancer {
@@ -495,21 +526,21 @@
         limits: ExecutionLimits,
         cold: ColdRule,
         must_ask: bool,
-        standing: Standing,
+        standing: Deployment,
     ) -> Self {
         let mut balancer = Balancer {
             rng: Rng::with_seed(seed),
-            lot: seed,
-            balancers: balancers.max(1) as usize,
+            subset_seed: seed,
+            proxy_count: balancers.max(1) as usize,
             number: number as usize,
             processes: 1,
-            standing,
-            quickest_us: u64::MAX,
-            must_ask,
-            retry: Retry::new(balancers as usize).within(standing.ask_within_us),
-            regroup_gap_us: 1_000_000,
-            further: 10.0,
-            bears: f64::MAX,
+            deployment: standing,
+            fastest_probe_us: u64::MAX,
+            must_subscribe: must_ask,
+            retry: Retry::new(balancers as usize).with_ask_limit(standing.ask_within_us),
+            regroup_interval_us: 1_000_000,
+            retry_budget: 10.0,
+            execution_limit: f64::MAX,
             ..Balancer::default()
         };
         balancer.reload(workloads, tenants, limits, cold);
@@ -527,9 +558,9 @@
     ) -> Vec<usize> {
         let slo_us = workloads.iter().map(|workload| workload.slo_us).min().unwrap_or(0);
         self.target_us = (slo_us as f64 / 8.0).max(1.0);
-        self.most_importance = workloads.iter().map(|workload| workload.importance).fold(1e-9, f64::max);
-        let share = |tenant: &Tenant| tenant.quota_per_s / self.balancers as f64;
-        let allowance = |tenant: &Tenant| Allowance::new(share(tenant), tenant.beyond_importance);
+        self.max_importance = workloads.iter().map(|workload| workload.importance).fold(1e-9, f64::max);
+        let share = |tenant: &Tenant| tenant.quota_per_s / self.proxy_count as f64;
+        let allowance = |tenant: &Tenant| QuotaBucket::new(share(tenant), tenant.over_quota_importance);
         self.tenants = tenants.iter().map(allowance).collect();
         (self.limits, self.cold) = (limits, cold);
         let mut numbers = Vec::new();
@@ -541,31 +572,32 @@
             });
             numbers.push(number);
         }
-        self.failing.resize_with(self.workloads.len(), Failing::default);
+        self.failure_rates.resize_with(self.workloads.len(), FailureRate::default);
         numbers
     }
 
     /// Whether a backend may still be sent to, or is known to a query.
-    pub fn uses(&self, id: u32) -> bool {
+    pub fn knows_backend(&self, id: u32) -> bool {
         self.fleet.contains_key(&id)
     }
 
     /// What this proxy's backends hold and can hold: nothing is decided by it here.
-    pub fn rooms(&self) -> impl Iterator<Item = Room> + '_ {
-        let used = |id: &u32| self.part.is_empty() || self.part.contains(id) || self.beyond.contains(id);
-        self.fleet.iter().filter(move |(id, _)| used(id)).map(|(id, backend)| Room {
+    pub fn capacities(&self) -> impl Iterator<Item = BackendCapacity> + '_ {
+        let used =
+            |id: &u32| self.subset.is_empty() || self.subset.contains(id) || self.remote_subset.contains(id);
+        self.fleet.iter().filter(move |(id, _)| used(id)).map(|(id, backend)| BackendCapacity {
             backend: *id,
             zone: backend.listed.zone,
             cell: backend.listed.cell,
             ready: backend.ready(),
             load: backend.there().map(|held| held.load).sum(),
             max: backend.max,
-            lost: backend.shut_for_us > 0 || backend.failures & 0b111 == 0b111,
+            lost: backend.ejection_us > 0 || backend.failures & 0b111 == 0b111,
         })
     }
 
-    pub(crate) fn ours(&self) -> impl Iterator<Item = &Backend> {
-        self.part.iter().map(|id| &self.fleet[id])
+    pub(crate) fn subset_backends(&self) -> impl Iterator<Item = &Backend> {
+        self.subset.iter().map(|id| &self.fleet[id])
     }
 
     /// How many proxies use a backend, a number below 1 that comes with this one's turn at it, and when that began.
@@ -574,10 +606,10 @@
     /// may differ. Where candidates are probed each proxy may use any backend.
     pub(crate) fn turn(&self, backend: &Backend, now_us: u64, window_us: u64) -> (usize, f64, u64) {
         const GOLDEN: u64 = 0x9e37_79b9_7f4a_7c15;
-        let before = backend.sharers.partition_point(|other| (*other as usize) < self.number);
-        let (users, place) = match self.standing.probes {
-            true => (self.balancers, self.number),
-            false => (backend.sharers.len() + 1, before),
+        let before = backend.sharing_peers.partition_point(|other| (*other as usize) < self.number);
+        let (users, place) = match self.deployment.probes {
+            true => (self.proxy_count, self.number),
+            false => (backend.sharing_peers.len() + 1, before),
         };
         let since_us = now_us.saturating_sub(window_us * place as u64 / users as u64);
         let turn = since_us / window_us * users as u64 + place as u64 + u64::from(backend.listed.backend);
@@ -585,40 +617,40 @@
     }
 
     /// Takes in a query that has come.
-    pub(crate) fn hold(&mut self, qry: Query) {
+    pub(crate) fn admit(&mut self, qry: Query) {
         self.last_serial = qry.serial;
-        self.own_out.add(self.out(), 64);
+        self.own_in_flight.add(self.out(), 64);
         let worth = qry.importance * qry.work;
-        self.usual_importance += (worth - self.usual_importance) / self.hints.len().clamp(1, 64) as f64;
+        self.mean_importance += (worth - self.mean_importance) / self.hints.len().clamp(1, 64) as f64;
         self.queries.insert(qry.id.clone(), qry);
     }
 
     /// Gives this proxy a few backends of its zone, and as many elsewhere, drawn by lot.
-    pub(crate) fn draw(&mut self, mut ids: Vec<u32>, most: usize) {
-        ids.sort_by_cached_key(|id| Rng::with_seed(self.lot ^ u64::from(*id)).u64(..));
-        let here = |id: &u32| self.standing.zone.is_none_or(|zone| self.fleet[id].listed.zone == zone);
+    pub(crate) fn draw_subset(&mut self, mut ids: Vec<u32>, most: usize) {
+        ids.sort_by_cached_key(|id| Rng::with_seed(self.subset_seed ^ u64::from(*id)).u64(..));
+        let here = |id: &u32| self.deployment.zone.is_none_or(|zone| self.fleet[id].listed.zone == zone);
         let (mut near, mut far): (Vec<u32>, Vec<u32>) = ids.into_iter().partition(here);
         [&mut near, &mut far].into_iter().for_each(|part| part.truncate(most));
-        (self.part, self.beyond) = if near.is_empty() { (far, near) } else { (near, far) };
+        (self.subset, self.remote_subset) = if near.is_empty() { (far, near) } else { (near, far) };
     }
 
     /// Gives this proxy its arc of the list, and each backend in it those who share it.
-    pub(crate) fn deal(&mut self, ids: &[u32], part: usize) {
-        let (count, balancers) = (ids.len(), self.balancers);
+    pub(crate) fn assign_arc(&mut self, ids: &[u32], part: usize) {
+        let (count, balancers) = (ids.len(), self.proxy_count);
         let holds = |of: usize, at: usize| (at + count - of * count / balancers % count) % count < part;
         for (place, id) in ids.iter().enumerate() {
             let backend = self.fleet.get_mut(id).expect("ready ones are listed");
-            backend.sharers.clear();
+            backend.sharing_peers.clear();
             if holds(self.number, place) {
-                self.part.push(*id);
+                self.subset.push(*id);
                 let others = (0..balancers).filter(|other| *other != self.number && holds(*other, place));
-                backend.sharers.extend(others.map(|other| other as u32));
+                backend.sharing_peers.extend(others.map(|other| other as u32));
             }
         }
     }
 
     /// The backends in an order in which each zone's lie evenly apart, the same at every proxy.
-    pub(crate) fn zones_in_turns(&self, ids: &[u32]) -> Vec<u32> {
+    pub(crate) fn interleave_zones(&self, ids: &[u32]) -> Vec<u32> {
         let mut zones: BTreeMap<u32, Vec<u32>> = BTreeMap::new();
         ids.iter().for_each(|id| zones.entry(self.fleet[id].listed.zone).or_default().push(*id));
         let evenly = |zone: &Vec<u32>| {
@@ -632,11 +664,11 @@
 
     /// How many executions are out to backends that this proxy uses.
     pub(crate) fn out(&self) -> f64 {
-        self.ours().map(|backend| backend.there().count() as f64).sum()
+        self.subset_backends().map(|backend| backend.there().count() as f64).sum()
     }
 
     /// A load unit is half the mean hint, so that the values' cuts lie where most hints do.
-    pub(crate) fn hinted(&mut self, hint_us: f64) {
+    pub(crate) fn record_hint(&mut self, hint_us: f64) {
         self.hints.record(hint_us, 512);
         if self.hints.len().is_power_of_two() {
             self.unit_us = self.hints.mean() / 2.0;
@@ -647,7 +679,7 @@
     /// held by one that ended without draining. Those that a whole list no longer names are gone.
     pub(crate) fn listed(&mut self, whole: bool, items: &[Listed], now_us: u64) -> (bool, bool, Option<f64>) {
         self.retry.heard();
-        self.began_us = if self.began_us == 0 { now_us } else { self.began_us };
+        self.first_list_us = if self.first_list_us == 0 { now_us } else { self.first_list_us };
         let (mut came, mut left, mut held) = (false, false, None);
         let named: BTreeSet<u32> = items.iter().map(|item| item.backend).collect();
         let missing = self.fleet.values().filter(|backend| whole && !named.contains(&backend.listed.backend));
@@ -655,61 +687,63 @@
         for item in gone.collect::<Vec<_>>().iter().chain(items) {
             let backend = self.fleet.entry(item.backend).or_default();
             let was = backend.ready();
-            let loose = self.standing.only_draining_binds && item.phase == Phase::Gone;
+            let loose = self.deployment.removal_not_binding && item.phase == Phase::Gone;
             // That it is gone, where this binds nobody, is no news of its start.
             let item = if loose { Listed { phase: Phase::Gone, ..backend.listed } } else { *item };
             let starts = backend.listed.since_us != item.since_us;
             let ended = item.phase == Phase::Gone && !loose || starts;
             if backend.listed.phase == Phase::Ready && !backend.drained && ended {
-                held = Some(held.map_or(0.0, |held: f64| held).max(backend.crowd() as f64));
+                held = Some(held.map_or(0.0, |held: f64| held).max(backend.execution_count() as f64));
             }
             if starts {
                 // A stamp may be off, and a later start than it tells may have shown: the later of them counts.
-                let drift_us = self.standing.clocks.start_us.min(now_us.saturating_sub(item.since_us));
+                let drift_us = self.deployment.clocks.start_us.min(now_us.saturating_sub(item.since_us));
                 let stamp_us = item.since_us + if item.since_us > 0 { drift_us } else { 0 };
-                backend.start_anew(stamp_us.max(backend.since_us), now_us);
+                backend.restart(stamp_us.max(backend.since_us), now_us);
             }
             backend.drained |= item.phase == Phase::Terminating;
             let may_serve = loose && !backend.drained;
             let dropped = may_serve && backend.listed.phase == Phase::Ready;
-            backend.steps = if dropped { STEPS } else { backend.steps * u8::from(may_serve) };
+            backend.phase_out_steps =
+                if dropped { PHASE_OUT_STEPS } else { backend.phase_out_steps * u8::from(may_serve) };
             (backend.listed, backend.out) = (item, self.out.contains_key(&item.backend));
             (came, left) = (came || backend.ready() && !was, left || was && !backend.ready());
         }
-        self.forget_gone();
+        self.remove_gone();
         (came, left, held)
     }
 
     /// The latest execution of a query is the last, and counts as sent only once its body has come whole.
-    pub(crate) fn sending(&mut self, id: &str, whole: bool, now_us: u64) {
+    pub(crate) fn body_progress(&mut self, id: &str, whole: bool, now_us: u64) {
         let Some(qry) = self.queries.get_mut(id) else { return };
         let Some(exec) = qry.executions.last_mut().filter(|exec| exec.out) else { return };
         qry.limits.max_executions = 0;
-        exec.sent_us = if whole { now_us } else { now_us + A_LONG_TIME_US };
+        exec.sent_us = if whole { now_us } else { now_us + FAR_FUTURE_US };
         let Some(backend) = self.fleet.get_mut(&exec.backend) else { return };
         let before = backend.work();
         if let Some(held) = backend.held.get_mut(&exec.serial) {
-            (held.sent_us, held.ahead, held.coming) = (exec.sent_us, before + held.work, !whole);
+            (held.sent_us, held.work_at_send, held.body_incomplete) =
+                (exec.sent_us, before + held.work, !whole);
         }
     }
 
     /// Takes a backend out or back; one that comes back may have started anew with nobody told of it yet.
-    pub(crate) fn by_hand(&mut self, id: u32, out: bool, now_us: u64) {
+    pub(crate) fn set_manual_drain(&mut self, id: u32, out: bool, now_us: u64) {
         let out_us =
             if out { *self.out.entry(id).or_insert(now_us) } else { self.out.remove(&id).unwrap_or(0) };
         if let Some(backend) = self.fleet.get_mut(&id) {
             if !out && backend.listed.since_us < out_us {
-                backend.start_anew(now_us, now_us);
+                backend.restart(now_us, now_us);
             }
             backend.out = out;
         }
-        self.forget_gone();
+        self.remove_gone();
         self.regroup_us = now_us;
     }
 
     pub(crate) fn told(&mut self, peer: u32, note: &str, until_us: u64) {
-        let Some((short, told)) = read_note(note) else { return };
-        let Some(id) = self.part.iter().find(|id| *id & 0xffff == short) else { return };
+        let Some((short, told)) = parse_note(note) else { return };
+        let Some(id) = self.subset.iter().find(|id| *id & 0xffff == short) else { return };
         let last = &mut self.fleet.get_mut(id).expect("parts hold listed backends").told;
         if last.iter().all(|last| last.peer != peer || told.is_newer_than(last)) {
             last.retain(|last| last.peer != peer);
@@ -720,27 +754,27 @@
     /// Ends a query here; executions still out are called off and count until their outcome.
     pub(crate) fn close(&mut self, id: &str, out: &mut dyn Writer) {
         let Some(qry) = self.queries.get_mut(id) else { return };
-        self.waiting.remove(&qry.place());
-        if !qry.over && qry.limits.cancel {
+        self.waiting.remove(&qry.queue_key());
+        if !qry.finished && qry.limits.cancel {
             let still = qry.executions.iter().enumerate().filter(|(_, exec)| exec.out);
             still.for_each(|(number, _)| out.cancel(&qry.id, number as u32));
         }
-        qry.over = true;
+        qry.finished = true;
         if !qry.out() {
             self.queries.remove(id);
         }
     }
 
     /// Leaves out of parts and groups whoever is not ready, and forgets those gone that no query knows.
-    pub(crate) fn forget_gone(&mut self) {
+    pub(crate) fn remove_gone(&mut self) {
         let fleet = &mut self.fleet;
-        self.part.retain(|id| fleet[id].ready());
-        self.beyond.retain(|id| fleet[id].ready());
+        self.subset.retain(|id| fleet[id].ready());
+        self.remote_subset.retain(|id| fleet[id].ready());
         self.groups.iter_mut().for_each(|group| group.retain(|member| fleet[&member.backend].ready()));
         let executions = self.queries.values().flat_map(|qry| &qry.executions);
         let asked = self.queries.values().flat_map(|qry| qry.asked.iter().copied());
         let known: BTreeSet<u32> = executions.map(|exec| exec.backend).chain(asked).collect();
-        let named = |backend: &Backend| backend.listed.phase != Phase::Gone || backend.steps > 0;
+        let named = |backend: &Backend| backend.listed.phase != Phase::Gone || backend.phase_out_steps > 0;
         fleet.retain(|id, backend| named(backend) || known.contains(id));
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! The decisions of a load-balancing proxy: `balance` decides by what `judge` makes of what `kept` remembers,
-//! `interface` is what it speaks, `inbox` how news come in.
+//! The decisions of a load-balancing proxy. `balance` decides, using the estimates that `judge` derives from the
+//! state in `kept`; `interface` holds the types exchanged with the host, `inbox` receives the host's events.
 
 pub mod balance;
 mod inbox;
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -20,29 +20,29 @@
 use std::ops::Range;
 
 /// Lines come every 2 s at the least: a watch without one is dead, though its connection may not know.
-pub const SILENT_US: u64 = 2_200_000;
+pub const WATCH_TIMEOUT_US: u64 = 2_200_000;
 /// Discovery works through its calls in turn and gives one up that has waited for a second.
-pub const ANSWER_US: u64 = 1_100_000;
+pub const RESPONSE_TIMEOUT_US: u64 = 1_100_000;
 /// For a connection to discovery to come up.
-pub const CONNECT_US: u64 = 700_000;
+pub const CONNECT_TIMEOUT_US: u64 = 700_000;
 
 /// The first wait of a proxy that is alone, at the most.
-const FIRST_US: u64 = 400_000;
+const MAX_FIRST_WAIT_US: u64 = 400_000;
 /// What the first calls of a fleet are spread over: this much for each other proxy, and in all.
-const SPREAD_EACH_US: u64 = 50_000;
-const SPREAD_US: u64 = 1_600_000;
+const START_SPREAD_PER_PROXY_US: u64 = 50_000;
+const MAX_START_SPREAD_US: u64 = 1_600_000;
 /// First waits after a silence, which has taken of the 6 s already; the wait doesn't grow for this many failures.
-const FIRST_SILENT_US: u64 = 1_000_000;
-const SILENT_FLAT: u32 = 3;
-const MOST_SILENT_US: u64 = 2_500_000;
-const MOST_REFUSED_US: u64 = 4_000_000;
+const MAX_FIRST_SILENT_WAIT_US: u64 = 1_000_000;
+const SILENT_FLAT_RETRIES: u32 = 3;
+const MAX_SILENT_WAIT_US: u64 = 2_500_000;
+const MAX_REFUSED_WAIT_US: u64 = 4_000_000;
 /// Refused so often in a row, discovery is overrun and not just back.
-const OVERRUN: u32 = 10;
+const OVERLOAD_REFUSALS: u32 = 10;
 /// How often the longest wait doubles then.
-const OVERRUN_DOUBLINGS: u32 = 3;
+const OVERLOAD_DOUBLINGS: u32 = 3;
 
 /// Of the time after which one who hasn't asked counts as told, a wait is one part at the most.
-const ASK_PARTS: u64 = 8;
+const MAX_WAIT_DIVISOR: u64 = 8;
 
 /// How a call to discovery failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Retry {
     proxies: u64,
-    most_us: u64,
+    max_wait_us: u64,
     refusals: u32,
     silences: u32,
 }
@@ -66,13 +66,14 @@
 impl Retry {
     /// `proxies`: how many ask the same discovery.
     pub fn new(proxies: usize) -> Self {
-        Retry { proxies: proxies as u64, most_us: u64::MAX, refusals: 0, silences: 0 }
+        Retry { proxies: proxies as u64, max_wait_us: u64::MAX, refusals: 0, silences: 0 }
     }
 
     /// The same where one who hasn't asked for `ask_within_us` counts as told.
-    pub fn within(self, ask_within_us: Option<u64>) -> Self {
-        let most_us = ask_within_us.map_or(u64::MAX, |within_us| (within_us / ASK_PARTS).max(ASK_PARTS));
-        Retry { most_us, ..self }
+    pub fn with_ask_limit(self, ask_within_us: Option<u64>) -> Self {
+        let most_us =
+            ask_within_us.map_or(u64::MAX, |within_us| (within_us / MAX_WAIT_DIVISOR).max(MAX_WAIT_DIVISOR));
+        Retry { max_wait_us: most_us, ..self }
     }
 
     /// Discovery has told something.
@@ -81,17 +82,17 @@
     }
 
     /// The time over which all proxies of a fleet that start together make their first calls, in microseconds.
-    pub fn start_us(&self) -> u64 {
-        (self.proxies.saturating_sub(1) * SPREAD_EACH_US).min(SPREAD_US)
+    pub fn start_spread_us(&self) -> u64 {
+        (self.proxies.saturating_sub(1) * START_SPREAD_PER_PROXY_US).min(MAX_START_SPREAD_US)
     }
 
     /// A call has failed: the bounds of the wait before the next, in microseconds, to be drawn from evenly.
     pub fn failed(&mut self, failure: Failure) -> Range<u64> {
         let (first_us, most_us) = match failure {
-            Failure::Refused => (self.first_us(), self.refused_us()),
-            Failure::Silent => (self.first_silent_us(), self.silent_us()),
+            Failure::Refused => (self.first_wait_us(), self.refused_wait_us()),
+            Failure::Silent => (self.first_silent_wait_us(), self.silent_us()),
         };
-        let (first_us, most_us) = (first_us.min(self.most_us), most_us.min(self.most_us));
+        let (first_us, most_us) = (first_us.min(self.max_wait_us), most_us.min(self.max_wait_us));
         let count = match failure {
             Failure::Refused => &mut self.refusals,
             Failure::Silent => &mut self.silences,
@@ -102,22 +103,23 @@
         least_us..most_us
     }
 
-    fn first_us(&self) -> u64 {
-        self.start_us().max(FIRST_US)
+    fn first_wait_us(&self) -> u64 {
+        self.start_spread_us().max(MAX_FIRST_WAIT_US)
     }
 
-    fn first_silent_us(&self) -> u64 {
-        self.first_us().min(FIRST_SILENT_US)
+    fn first_silent_wait_us(&self) -> u64 {
+        self.first_wait_us().min(MAX_FIRST_SILENT_WAIT_US)
     }
 
-    fn refused_us(&self) -> u64 {
-        let overrun = self.refusals.saturating_add(1).saturating_sub(OVERRUN).min(OVERRUN_DOUBLINGS);
-        doubled(doubled(self.first_us(), self.refusals).min(MOST_REFUSED_US), overrun)
+    fn refused_wait_us(&self) -> u64 {
+        let overrun =
+            self.refusals.saturating_add(1).saturating_sub(OVERLOAD_REFUSALS).min(OVERLOAD_DOUBLINGS);
+        doubled(doubled(self.first_wait_us(), self.refusals).min(MAX_REFUSED_WAIT_US), overrun)
     }
 
     fn silent_us(&self) -> u64 {
-        let grown = self.silences.saturating_add(1).saturating_sub(SILENT_FLAT);
-        doubled(self.first_silent_us(), grown).min(MOST_SILENT_US)
+        let grown = self.silences.saturating_add(1).saturating_sub(SILENT_FLAT_RETRIES);
+        doubled(self.first_silent_wait_us(), grown).min(MAX_SILENT_WAIT_US)
     }
 }
 
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -101,7 +101,7 @@
         let age = (at_us - cold_us) as f64 / COLD.cold_us as f64;
         let capacity = COLD.start_capacity + (1.0 - COLD.start_capacity) * age;
         // A query is done a step after it could be, as outcomes come by rounds.
-        COLD.multiple * capacity * COLD.window_us as f64 / (TAKES_US + STEP_US) as f64
+        COLD.capacity_multiple * capacity * COLD.window_us as f64 / (TAKES_US + STEP_US) as f64
     };
     let windows = sent_us.iter().enumerate().map(|(first, from_us)| {
         let end = sent_us.partition_point(|at| *at < from_us + COLD.window_us);
--- a/tests/ledger/mod.rs
+++ b/tests/ledger/mod.rs
@@ -14,7 +14,7 @@
 
 impl Sent {
     fn may_have_run(&self) -> bool {
-        !matches!(self.ended, Some(Ended::TurnedAway | Ended::Unreachable | Ended::NotSent))
+        !matches!(self.ended, Some(Ended::Rejected | Ended::Unreachable | Ended::NotSent))
     }
 }
 
@@ -45,7 +45,7 @@
     /// Whether queries come as a client's repetitions.
     pub again: bool,
     pub cold: ColdRule,
-    pub standing: Standing,
+    pub standing: Deployment,
     pub probed: Vec<u32>,
     /// When the rejected are to come back.
     pub advised: Vec<u64>,
@@ -54,7 +54,7 @@
 }
 
 pub const COLD: ColdRule =
-    ColdRule { start_capacity: 0.2, cold_us: 10_000_000, multiple: 3.0, window_us: 2_000_000 };
+    ColdRule { start_capacity: 0.2, cold_us: 10_000_000, capacity_multiple: 3.0, window_us: 2_000_000 };
 
 pub fn workload(repeat: Repeat, group: DedupGroup, importance: f64) -> Workload {
     let (slo_us, window_us) = (1_000_000, 300_000);
@@ -83,7 +83,7 @@
             peers: false,
             again: false,
             cold: COLD,
-            standing: Standing::default(),
+            standing: Deployment::default(),
             probed: Vec::new(),
             advised: Vec::new(),
             notes: Vec::new(),
@@ -93,8 +93,8 @@
 
     pub fn balancer(&self, seed: u64, balancers: u32, number: u32) -> Balancer {
         let (workloads, tenants) =
-            (self.workloads.clone(), vec![Tenant { quota_per_s: 200.0, beyond_importance: 0.1 }; 2]);
-        let (limits, standing) = (self.limits, Standing { peers: self.peers, ..self.standing });
+            (self.workloads.clone(), vec![Tenant { quota_per_s: 200.0, over_quota_importance: 0.1 }; 2]);
+        let (limits, standing) = (self.limits, Deployment { peers: self.peers, ..self.standing });
         Balancer::new(seed, balancers, number, workloads, tenants, limits, self.cold, true, standing)
     }
 
@@ -110,7 +110,7 @@
         self.wakes = later;
         let mut written = Written(Vec::new());
         let fed: Result<(), ()> = balancer.round(self.now_us, &mut written, |inbox| {
-            due.iter().for_each(|wake| inbox.woken(&wake.1));
+            due.iter().for_each(|wake| inbox.timer_fired(&wake.1));
             feed(self, inbox);
             Ok(())
         });
@@ -186,7 +186,7 @@
     #[allow(dead_code, reason = "each test file takes what it needs of this one")]
     pub fn by_hand(&mut self, inbox: &mut Inbox, backend: u32, out: bool) {
         let _ = if out { self.out.insert(backend) } else { self.out.remove(&backend) };
-        inbox.by_hand(backend, out);
+        inbox.set_manual_drain(backend, out);
     }
 
     /// The executions still out, by query and number.
@@ -218,7 +218,7 @@
         };
         // What is still to be written may be written that much later.
         let begins_late = |first: &Sent| now_us + begin_within_us > first.at_us + workload.window_us;
-        let binds = !self.standing.only_draining_binds || self.drained.contains(&backend);
+        let binds = !self.standing.removal_not_binding || self.drained.contains(&backend);
         let deduplicated = workload.repeat == Repeat::Deduplicated;
         let breaks = [
             (qry.answer.is_some() || now_us > qry.deadline_us, "is executed after its answer or deadline"),
@@ -303,7 +303,7 @@
             ledger.probed.push(backend);
         });
     }
-    fn tell(&mut self, peer: u32, bytes: &str) {
+    fn send_note(&mut self, peer: u32, bytes: &str) {
         let note = (peer, bytes.to_owned());
         self.put(move |ledger| {
             ledger.wrong.extend((!ledger.peers).then(|| "a note leaves where none may".into()));
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -167,7 +167,7 @@
         end(&mut ledger, &mut balancer, 20_000, |_| Ended::Completed);
     }
     // Nobody has told that it started, but for the call back; within one window it gets a cold one's budget.
-    let bears_us = COLD.multiple * 0.28 * COLD.window_us as f64;
+    let bears_us = COLD.capacity_multiple * 0.28 * COLD.window_us as f64;
     assert!(used > 4 && (work_us as f64) < bears_us, "{used}, {work_us} of {bears_us}");
     assert!(ledger.wrong.is_empty(), "{:?}", ledger.wrong);
 }
@@ -181,7 +181,7 @@
         let id = format!("long{turn}");
         ask(&mut ledger, &mut balancer, &id, Some(20_000));
         assert_eq!(ledger.queries[&id].sent.len(), 1, "{id} waits for bodies on their way");
-        ledger.round(&mut balancer, 5_000, |_, inbox| inbox.sending(&id, false));
+        ledger.round(&mut balancer, 5_000, |_, inbox| inbox.body_progress(&id, false));
     }
     // Long past the time of any second copy, and of what bounds a pace.
     (0..40).for_each(|_| ledger.round(&mut balancer, 25_000, |_, _| ()));
@@ -202,10 +202,10 @@
     for id in ["a", "b", "c", "d", "e", "f", "g"] {
         ask(&mut ledger, &mut balancer, id, Some(250_000));
         work_us += ledger.queries[id].sent.len() as u64 * 250_000;
-        end(&mut ledger, &mut balancer, 255_000, |_| Ended::TurnedAway);
+        end(&mut ledger, &mut balancer, 255_000, |_| Ended::Rejected);
     }
     // For two proxies, at the mean warmth of this window; what warm backends do was seen to be one core's work.
-    let bears_us = COLD.multiple * 0.28 * COLD.window_us as f64 / 2.0;
+    let bears_us = COLD.capacity_multiple * 0.28 * COLD.window_us as f64 / 2.0;
     assert!(work_us > 0 && (work_us as f64) < bears_us, "{work_us} of {bears_us}");
 }
 
@@ -225,7 +225,8 @@
     let mut drawn = BTreeSet::new();
     for seed in 0..6 {
         let (mut ledger, _) = start(Repeat::Idempotent, 0, 2, 0, false);
-        ledger.standing = Standing { zone: Some(0), crossing: 0.2, probes: true, ..Standing::default() };
+        ledger.standing =
+            Deployment { zone: Some(0), cross_zone_cost: 0.2, probes: true, ..Deployment::default() };
         let mut balancer = ledger.balancer(seed, 300, seed as u32);
         let all: Vec<Listed> = (0..60).map(ready).collect();
         ledger.round(&mut balancer, 5_000, |ledger, inbox| ledger.tell(inbox, &all));
@@ -235,7 +236,7 @@
             ask(&mut ledger, &mut balancer, &id, None);
             ledger.round(&mut balancer, 5_000, |ledger, inbox| {
                 let probed = std::mem::take(&mut ledger.probed);
-                probed.into_iter().for_each(|at| inbox.probed(at, Ended::Completed, 900, None));
+                probed.into_iter().for_each(|at| inbox.probe_outcome(at, Ended::Completed, 900, None));
             });
             met.extend(ledger.queries[&id].sent.iter().map(|sent| sent.backend));
             end(&mut ledger, &mut balancer, 20_000, |_| Ended::Completed);
@@ -289,7 +290,7 @@
         ask(&mut ledger, &mut balancer, "q", None);
         let deadline_us = ledger.queries["q"].deadline_us;
         let at = ledger.probed.remove(0);
-        ledger.round(&mut balancer, 5_000, |_, inbox| inbox.probed(at, Ended::Completed, 900, None));
+        ledger.round(&mut balancer, 5_000, |_, inbox| inbox.probe_outcome(at, Ended::Completed, 900, None));
         assert_eq!(ledger.queries["q"].sent.len(), 1);
         let back_us = deadline_us - 900_000 + late_us;
         let mut back = false;
@@ -320,7 +321,7 @@
         let mut balancer = ledger.balancer(seed, 2, 0);
         let mut retry = Retry::new(2);
         let mut lose = |failure: Failure, bounds: std::ops::Range<u64>| {
-            ledger.round(&mut balancer, 5_000_000, |_, inbox| inbox.list_lost(failure));
+            ledger.round(&mut balancer, 5_000_000, |_, inbox| inbox.list_failed(failure));
             let wait_us = ledger.wakes.last().expect("a later ask").0 - ledger.now_us;
             assert!(bounds.contains(&wait_us), "{failure:?} {bounds:?} {wait_us}");
             wait_us
@@ -328,7 +329,7 @@
         let waits = failures.map(|failure| lose(failure, retry.failed(failure)));
         assert_eq!(ledger.asked, 6, "two at launch and one for each loss but the last");
         ledger.round(&mut balancer, 5_000_000, |_, inbox| inbox.list(false, &[]));
-        ledger.round(&mut balancer, 5_000, |_, inbox| inbox.list_lost(Failure::Refused));
+        ledger.round(&mut balancer, 5_000, |_, inbox| inbox.list_failed(Failure::Refused));
         let first_us = ledger.wakes.last().expect("a later ask").0 - ledger.now_us;
         assert!(Retry::new(2).failed(Failure::Refused).contains(&first_us), "{first_us}");
         waits
@@ -385,7 +386,7 @@
     (0..20).for_each(|number| ask(&mut ledger, &mut balancer, &format!("q{number}"), None));
     assert!(ledger.out().len() <= 8, "four of its own on each of two backends at the most");
     ledger.round(&mut balancer, 900_000, |_, _| {});
-    end(&mut ledger, &mut balancer, 5_000, |_| Ended::TurnedAway);
+    end(&mut ledger, &mut balancer, 5_000, |_| Ended::Rejected);
     ask(&mut ledger, &mut balancer, "after", None);
     assert_eq!(ledger.queries["after"].sent.len(), 0, "both have just said that they are full");
 }
@@ -435,7 +436,7 @@
 fn what_the_list_drops_serves_on_by_steps_where_only_draining_binds() {
     let gone = |backend| Listed { phase: Phase::Gone, ..ready(backend) };
     let (mut ledger, _) = start(Repeat::Idempotent, 0, 2, 0, false);
-    ledger.standing.only_draining_binds = true;
+    ledger.standing.removal_not_binding = true;
     let mut balancer = listed(&mut ledger, 4, 2, 0);
     spread(&mut ledger, &mut balancer, "before", &[None; 8]);
     let drains = Listed { phase: Phase::Terminating, ..ready(3) };
@@ -540,17 +541,20 @@
 fn a_probe_may_fail_after_its_backend_is_gone_and_forgotten_by_all_queries() {
     for only_draining_binds in [false, true] {
         let (mut ledger, _) = start(Repeat::Idempotent, 0, 2, 0, false);
-        ledger.standing = Standing { probes: true, only_draining_binds, ..Standing::default() };
+        ledger.standing =
+            Deployment { probes: true, removal_not_binding: only_draining_binds, ..Deployment::default() };
         let mut balancer = listed(&mut ledger, 1, 2, 0);
         ask(&mut ledger, &mut balancer, "first", None);
-        ledger.round(&mut balancer, 5_000, |_, inbox| inbox.probed(0, Ended::Completed, 900, None));
+        ledger.round(&mut balancer, 5_000, |_, inbox| inbox.probe_outcome(0, Ended::Completed, 900, None));
         ask(&mut ledger, &mut balancer, "second", None);
         let gone = Listed { phase: Phase::Gone, ..ready(0) };
         ledger.round(&mut balancer, 5_000, |ledger, inbox| ledger.tell(inbox, &[gone]));
         ledger.round(&mut balancer, 900_000, |_, _| {});
         end(&mut ledger, &mut balancer, 5_000, |_| Ended::Completed);
         for _ in 0..6 {
-            ledger.round(&mut balancer, 5_000, |_, inbox| inbox.probed(0, Ended::TimedOut, 90_000, None));
+            ledger.round(&mut balancer, 5_000, |_, inbox| {
+                inbox.probe_outcome(0, Ended::TimedOut, 90_000, None)
+            });
             ask(&mut ledger, &mut balancer, "third", None);
         }
         ledger.wrong.retain(|wrong| !wrong.contains("no answer in time"));
@@ -584,7 +588,9 @@
     // A warm backend was seen to do one of these queries in 25 ms at the least, as they were ended.
     let bears = |from_us: u64| {
         let age = (from_us + COLD.window_us / 2 - start_us) as f64 / COLD.cold_us as f64;
-        COLD.multiple * (COLD.start_capacity + (1.0 - COLD.start_capacity) * age) * COLD.window_us as f64
+        COLD.capacity_multiple
+            * (COLD.start_capacity + (1.0 - COLD.start_capacity) * age)
+            * COLD.window_us as f64
             / 20_000.0
     };
     for from_us in &sent_us {
@@ -606,7 +612,7 @@
 fn one_of_few_proxies_does_not_wait_for_probes() {
     for (balancers, probes) in [(3, false), (30, true)] {
         let (mut ledger, _) = start(Repeat::Idempotent, 0, 2, 0, false);
-        ledger.standing = Standing { probes: true, ..Standing::default() };
+        ledger.standing = Deployment { probes: true, ..Deployment::default() };
         let mut balancer = listed(&mut ledger, 10, balancers, 0);
         ask(&mut ledger, &mut balancer, "q", None);
         assert_eq!(!ledger.probed.is_empty(), probes, "{balancers} proxies");
@@ -638,7 +644,7 @@
         ledger.standing.ask_within_us = within_us;
         let mut balancer = listed(&mut ledger, 2, 2, 0);
         let (asked, lost_us) = (ledger.asked, ledger.now_us + 5_000);
-        ledger.round(&mut balancer, 5_000, |_, inbox| inbox.list_lost(Failure::Refused));
+        ledger.round(&mut balancer, 5_000, |_, inbox| inbox.list_failed(Failure::Refused));
         while ledger.asked == asked && ledger.now_us < lost_us + 1_000_000 {
             ledger.round(&mut balancer, 5_000, |_, _| {});
         }
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -14,7 +14,7 @@
     let workload = Workload { tardy_importance: 0.0, ..workload(Repeat::Idempotent, DedupGroup::All, 1.0) };
     let mut ledger = Ledger::new(vec![workload], limits);
     ledger.peers = true;
-    ledger.cold = ColdRule { multiple, ..COLD };
+    ledger.cold = ColdRule { capacity_multiple: multiple, ..COLD };
     let mut balancer = ledger.balancer(5, 1, 0);
     let listed: Vec<Listed> = (0..BACKENDS).map(ready).collect();
     ledger.round(&mut balancer, 5_000, |ledger, inbox| ledger.tell(inbox, &listed));
--- a/tests/retry.rs
+++ b/tests/retry.rs
@@ -3,7 +3,7 @@
 #[path = "retry/stand_in.rs"]
 mod stand_in;
 
-use crankpick::retry::{Failure, Retry, ANSWER_US, CONNECT_US, SILENT_US};
+use crankpick::retry::{Failure, Retry, CONNECT_TIMEOUT_US, RESPONSE_TIMEOUT_US, WATCH_TIMEOUT_US};
 use stand_in::*;
 
 const FLEETS: [usize; 4] = [2, 32, 300, 1_100];
@@ -135,15 +135,15 @@
     let silent = [Failure::Silent; 30];
     for proxies in 1..=9 {
         let waits = longest(proxies, &silent);
-        let fourth_call_us = SILENT_US + 2 * ANSWER_US + waits[..3].iter().sum::<u64>();
+        let fourth_call_us = WATCH_TIMEOUT_US + 2 * RESPONSE_TIMEOUT_US + waits[..3].iter().sum::<u64>();
         assert!(fourth_call_us <= 5_600_000, "{proxies}: {waits:?}");
     }
     for proxies in FLEETS {
         let waits = longest(proxies, &silent);
-        let third_call_us = SILENT_US + ANSWER_US + waits[..2].iter().sum::<u64>();
+        let third_call_us = WATCH_TIMEOUT_US + RESPONSE_TIMEOUT_US + waits[..2].iter().sum::<u64>();
         assert!(third_call_us <= 5_300_000, "{proxies}: {waits:?}");
         // Discovery is back as a call begins that still gets no answer.
-        let after_return_us = CONNECT_US + ANSWER_US + waits.iter().max().expect("some");
+        let after_return_us = CONNECT_TIMEOUT_US + RESPONSE_TIMEOUT_US + waits.iter().max().expect("some");
         assert!(after_return_us <= 4_300_000, "{proxies}: {waits:?}");
     }
 }
@@ -171,10 +171,10 @@
 #[test]
 fn no_wait_passes_an_eighth_of_the_time_after_which_silence_counts_as_told() {
     for failure in [Failure::Refused, Failure::Silent] {
-        let mut bounded = Retry::new(32).within(Some(5_000_000));
+        let mut bounded = Retry::new(32).with_ask_limit(Some(5_000_000));
         let longest_us = (0..40).map(|_| bounded.failed(failure).end).max();
         assert_eq!(longest_us, Some(625_000));
-        let mut free = Retry::new(32).within(None);
+        let mut free = Retry::new(32).with_ask_limit(None);
         let mut plain = Retry::new(32);
         assert!((0..40).all(|_| free.failed(failure) == plain.failed(failure)));
     }
--- a/tests/retry/stand_in.rs
+++ b/tests/retry/stand_in.rs
@@ -1,7 +1,7 @@
 //! Discovery as a fleet meets it, in virtual time: it works through calls in turn, as many a second as it can, and
 //! gives up what would wait longer than its patience. What it gives up costs it work as well.
 
-use crankpick::retry::{Failure, Retry, ANSWER_US, CONNECT_US};
+use crankpick::retry::{Failure, Retry, CONNECT_TIMEOUT_US, RESPONSE_TIMEOUT_US};
 use fastrand::Rng;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -55,7 +55,7 @@
 
 impl Waits for Retry {
     fn start_us(&self) -> u64 {
-        Retry::start_us(self)
+        Retry::start_spread_us(self)
     }
 
     fn failed(&mut self, failure: Failure) -> Range<u64> {
@@ -128,7 +128,7 @@
         let wait_us = busy_until_us - now_us as f64;
         let (failure, took_us) = if now_us < back_us {
             match event {
-                Event::SilentUntil(_) => (Failure::Silent, CONNECT_US.max(ANSWER_US)),
+                Event::SilentUntil(_) => (Failure::Silent, CONNECT_TIMEOUT_US.max(RESPONSE_TIMEOUT_US)),
                 _ => (Failure::Refused, 0),
             }
         } else if wait_us > capacity.patience_us as f64 {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -22,7 +22,14 @@
     let only_draining_binds = rng.bool();
     let (crossing, probes) = (rng.f64() * 0.3, rng.bool());
     let clocks = ClockError { deadline_us: [0, 0, 400_000, 3_000_000][rng.usize(0..4)], start_us: 0 };
-    ledger.standing = Standing { zone, crossing, probes, only_draining_binds, clocks, ..Standing::default() };
+    ledger.standing = Deployment {
+        zone,
+        cross_zone_cost: crossing,
+        probes,
+        removal_not_binding: only_draining_binds,
+        clocks,
+        ..Deployment::default()
+    };
     let mut balancer = ledger.balancer(seed, rng.u32(0..12), rng.u32(0..12));
     let (backends, hinted, rate) = (rng.u32(0..12), rng.bool(), rng.usize(1..6));
     let (failing, steps) = (rng.f64() * 0.5, 250);
@@ -53,16 +60,16 @@
             }
             if rng.u8(0..40) == 0 {
                 inbox.processes(rng.usize(1..3));
-                inbox.list_lost([Failure::Refused, Failure::Silent][rng.usize(0..2)]);
+                inbox.list_failed([Failure::Refused, Failure::Silent][rng.usize(0..2)]);
             }
             // Some never return, and some that return were never asked for.
             let odd = (rng.u8(0..20) == 0).then_some(99);
             for backend in std::mem::take(&mut ledger.probed).into_iter().chain(odd) {
                 let report =
                     LoadReport { held: rng.bool().then(|| rng.f64() * 9.0), ..LoadReport::default() };
-                let ended = [Completed, Completed, TurnedAway, TimedOut, Unreachable][rng.usize(0..5)];
+                let ended = [Completed, Completed, Rejected, TimedOut, Unreachable][rng.usize(0..5)];
                 if rng.u8(0..8) > 0 {
-                    inbox.probed(backend, ended, rng.u64(100..300_000), Some(report));
+                    inbox.probe_outcome(backend, ended, rng.u64(100..300_000), Some(report));
                 }
             }
             let live: Vec<String> =
@@ -74,7 +81,7 @@
             }
             for (id, number) in ledger.out() {
                 let sent = &ledger.queries[&id].sent[number];
-                let ends = [Errored, TurnedAway, Unreachable, Dropped, Cancelled];
+                let ends = [Errored, Rejected, Unreachable, Dropped, Cancelled];
                 let ended = if rng.f64() < failing { ends[rng.usize(0..5)] } else { Completed };
                 if ledger.now_us >= sent.until_us {
                     ledger.end(inbox, &id, number, TimedOut);
--- a/tests/shapes.rs
+++ b/tests/shapes.rs
@@ -16,7 +16,7 @@
 const LEAST_SHARE: f64 = 0.88;
 
 /// Little enough that a few proxies could go past it in a window.
-const BEARS: ColdRule = ColdRule { multiple: 0.8, ..COLD };
+const BEARS: ColdRule = ColdRule { capacity_multiple: 0.8, ..COLD };
 
 /// One core that works on what it holds in turn.
 #[derive(Default)]
@@ -62,9 +62,9 @@
             let mut ledger = Ledger::new(workloads.to_vec(), limits);
             ledger.peers = kind(number) == 0;
             // During the move each kind has half of what a cold backend bears.
-            ledger.cold = ColdRule { multiple: BEARS.multiple * cold_share, ..BEARS };
+            ledger.cold = ColdRule { capacity_multiple: BEARS.capacity_multiple * cold_share, ..BEARS };
             let (zone, probes) = (Some(number as u32 % 2), kind(number) == 1);
-            ledger.standing = Standing { zone, crossing: 0.2, probes, ..Standing::default() };
+            ledger.standing = Deployment { zone, cross_zone_cost: 0.2, probes, ..Deployment::default() };
             let balancer = ledger.balancer(seed + number as u64, (OLD + NEW) as u32, number as u32);
             (ledger, balancer)
         });
@@ -119,7 +119,7 @@
                     // Half of them hear how many queries are held, the others wait in line to be served.
                     let held = (number % 4 < 2).then_some(server.queue.len() as f64);
                     let took_us = 400 + if held.is_some() { 0 } else { server.ahead_us() };
-                    inbox.probed(
+                    inbox.probe_outcome(
                         backend,
                         Completed,
                         took_us,
@@ -158,7 +158,7 @@
         for (number, server) in self.servers.iter_mut().enumerate() {
             server.arrived.retain(|arrived| arrived.0 + COLD.window_us >= now_us);
             let sent_us: u64 = server.arrived.iter().map(|arrived| arrived.1).sum();
-            let bears_us = BEARS.multiple * server.capacity(now_us) * COLD.window_us as f64;
+            let bears_us = BEARS.capacity_multiple * server.capacity(now_us) * COLD.window_us as f64;
             if server.capacity(now_us) < 1.0 && sent_us as f64 > bears_us {
                 self.wrong.push(format!("{number} is cold, bears {bears_us} and gets {sent_us}"));
             }
--- a/tests/time.rs
+++ b/tests/time.rs
@@ -86,7 +86,7 @@
             ask(&mut ledger, &mut balancer, &id, 900_000);
             let at = ledger.queries[&id].sent[0].backend;
             after += usize::from(at == 1);
-            let ended = if at == 1 { Ended::TurnedAway } else { Ended::Completed };
+            let ended = if at == 1 { Ended::Rejected } else { Ended::Completed };
             end(&mut ledger, &mut balancer, &id, 5_000, ended);
             if ledger.queries[&id].answer.is_none() {
                 end(&mut ledger, &mut balancer, &id, 5_000, Ended::Completed);
--- a/tests/unit/kept.rs
+++ b/tests/unit/kept.rs
@@ -10,7 +10,7 @@
     fn wake(&mut self, _: u64, _: &str) {}
     fn subscribe(&mut self) {}
     fn probe(&mut self, _: u32) {}
-    fn tell(&mut self, _: u32, _: &str) {}
+    fn send_note(&mut self, _: u32, _: &str) {}
 }
 
 #[test]
@@ -26,7 +26,7 @@
     let limits = ExecutionLimits { max_executions: 3, ..ExecutionLimits::default() };
     let cold = ColdRule::default();
     let mut balancer =
-        Balancer::new(7, 1, 0, vec![workload], vec![], limits, cold, false, Standing::default());
+        Balancer::new(7, 1, 0, vec![workload], vec![], limits, cold, false, Deployment::default());
     let listed = |backend, phase| Listed { backend, phase, weight: 1.0, ..Listed::default() };
     for turn in 0..100 {
         let id = turn.to_string();
--- a/tests/unread.rs
+++ b/tests/unread.rs
@@ -14,7 +14,7 @@
     let long = Workload { tardy_importance: 0.0, ..workload(Repeat::Idempotent, DedupGroup::All, 1.0) };
     let short = Workload { slo_us: 400_000, ..long.clone() };
     let mut ledger = Ledger::new(vec![long, short], limits);
-    ledger.standing.response_room = room;
+    ledger.standing.response_buffers = room;
     let mut balancer = ledger.balancer(5, 1, 0);
     let listed: Vec<Listed> = (0..BACKENDS).map(ready).collect();
     ledger.round(&mut balancer, 5_000, |ledger, inbox| ledger.tell(inbox, &listed));
