--- a/src/balance.rs
+++ b/src/balance.rs
@@ -1,6 +1,7 @@
-//! All decisions of the proxy. A host calls `round` of its `Balancer` once for each batch of news, fed
-//! through `Inbox`; then the round places what waits and decisions leave through the `Writer`. Memory is in
-//! kept.rs, the mechanism (types, groups, rotation, best fit) and each exception to it in docs/design.md.
+//! All decisions of the proxy. The host calls `Balancer::round` once for each batch of events, which it feeds
+//! through `Inbox`; the round then places the waiting queries, and decisions leave through the `Writer`.
+//! State is in kept.rs; docs/design.md describes the mechanism (types, groups, rotation, best fit) and each
+//! exception to it.
 
 pub use crate::inbox::Inbox;
 use crate::interface::*;
@@ -10,54 +11,67 @@
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-/// The paper's load values of the four types, from plain to heavy on all counts.
+/// The load values of the four query types, from plain to heavy in every respect, as measured in the paper
+/// that docs/design.md names.
 const TYPE_LOADS: [f64; 4] = [1.0, 2.0, 2.0, 3.0];
-/// Hints are cut half-way between the values, the two equal ones half-way between their cuts.
+/// The cut-offs between types, in hinted load units: half-way between the load values; the cut-off between
+/// the two equal types is half-way between its neighbours.
 const TYPE_CUTOFFS: [f64; 3] = [1.5, 2.0, 2.5];
+/// The longest interval between rebuilds of the groups.
 const REGROUP_INTERVAL_US: u64 = 30_000_000;
+/// The interval at which all backends' maxima are recomputed, where candidates are probed.
 const MAXIMA_INTERVAL_US: u64 = 250_000;
 const SWEEP_INTERVAL_US: u64 = 25_000;
-/// Queries left with one backend by all, as told: more only wait where none can reject them.
+/// The most executions by all proxies at one backend, as reported by peers: more would only queue where they
+/// can no longer be rejected.
 const EXECUTION_LIMIT_REPORTED: f64 = 4.0;
-/// Queries left with one backend by all, as inferred where nobody tells.
+/// The same limit where the total has to be inferred because peers don't report.
 const EXECUTION_LIMIT_INFERRED: f64 = 3.0;
-/// What a restart leaves of the bound on both, how low that goes, and what comes back each quarter second.
+/// The factor by which an unexpected restart lowers the execution limit, the lowest limit, and the factor by
+/// which it recovers every quarter of a second.
 pub(crate) const RESTART_LIMIT_FACTOR: f64 = 0.75;
 pub(crate) const MIN_EXECUTION_LIMIT: f64 = 1.5;
 const LIMIT_RECOVERY_FACTOR: f64 = 1.005;
-/// Executions of a workload that fail, in part, past which its queries may themselves be the cause; and past
-/// which, where others succeed so many times as often, they hold up whoever takes them.
+/// The failure rate above which a workload's queries may themselves cause the failures; and the failure rate,
+/// with the ratio by which others succeed more often, above which they block the backends that execute them.
 const SUSPECT_FAILURE_RATE: f64 = 0.1;
 const BLOCKING_FAILURE: (f64, f64) = (0.5, 3.0);
-/// Proxies that share one backend, where a part may be that small: one query of each of many is a crowd.
+/// The target number of proxies that share one backend: with many, one query from each already overloads it.
 const PROXIES_PER_BACKEND: usize = 3;
-/// Backends in an arc at the least, also where connections have a price or sharers are told, which costs the
-/// less the fewer there are: past so many to a backend.
+/// The minimum number of backends in an arc. The second applies where connections cost, or where peers are
+/// notified and more than `MAX_PROXIES_PER_BACKEND` proxies would share a backend, since notes cost less with
+/// fewer sharers.
 const MIN_ARC: usize = 6;
 const MIN_ARC_COSTLY: usize = 3;
 const MAX_PROXIES_PER_BACKEND: usize = 16;
-/// Those of its zone, and of others, that a probing proxy draws.
+/// How many backends of its zone, and of other zones, a probing proxy draws.
 const PROBING_SUBSET: usize = 8;
-/// Candidates probed at a time.
+/// How many candidates are probed at a time.
 const PROBES_PER_WAVE: usize = 2;
+/// After this time a probe without an answer counts as lost, and another may be sent.
 const PROBE_LOST_AFTER_US: u64 = 2_000_000;
-/// Maxima of load found by a probe past which the most important is refused, and the load that any accepts.
+/// The probed load, as a multiple of the maximum, above which even the most important query is rejected; and
+/// the load below which none is.
 const OVERLOAD_FACTOR: f64 = 3.0;
 const ALWAYS_ACCEPTED_LOAD: f64 = 4.0;
-/// What probes found may turn the next queries away for so long.
+/// For how long the load found by probes may cause the next queries to be rejected.
 const PROBED_LOAD_TTL_US: f64 = 2e6;
-/// Of the SLO time, what each lost answer among the last eight costs a query with one chance.
+/// The cost of each lost answer among the last eight, as a fraction of the SLO time, for a query that can be
+/// executed only once.
 const LOST_ANSWER_COST: f64 = 0.125;
-/// Outcomes that the usual pace for a backend's weight counts as, where few ever come.
+/// The weight, in outcomes, of the prior for a backend's pace, since some backends yield few outcomes.
 const PRIOR_OUTCOMES: f64 = 2.0;
-/// Outcomes from which the fastest pace is known: one that met a crowd would make all queries hopeless.
+/// How many outcomes are needed before the fastest pace is used: a single one, delayed by other load, would
+/// make all queries appear impossible to complete in time.
 const MIN_SPEED_SAMPLES: u64 = 16;
 
 impl Backend {
+    /// Whether neither an ejection nor a cool-down keeps queries of this importance away.
     fn open(&self, now_us: u64, importance: f64) -> bool {
-        // The most important need not wait out a rest, so that it is the cheap ones that are turned away.
+        // The most important queries skip the cool-down, so that the less important ones are rejected
+        // instead.
         let rested_us = self.cooldown.0 + (self.cooldown.1 * (1.0 - importance)) as u64;
-        // One that was shut gets one query at a time until one is completed.
+        // A backend that was ejected gets one query at a time until one completes.
         self.ready()
             && (self.ejection_us == 0 || self.idle())
             && now_us >= self.ejected_until_us.max(rested_us)
@@ -65,7 +79,7 @@
 }
 
 impl Balancer {
-    /// Takes in all news of one batch through `feed`, then places what waits.
+    /// Processes all events of one batch through `feed`, then places the waiting queries.
     pub fn round<E>(
         &mut self,
         now_us: u64,
@@ -79,17 +93,17 @@
         if now_us >= self.regroup_us {
             self.regroup(now_us);
         }
-        // A peer's note alone calls for no decision.
+        // A note from a peer alone requires no decision.
         if self.waiting.is_empty() && self.sweep_scheduled {
             return Ok(());
         }
         self.set_maxima(now_us);
-        // Only after all news: what ends in this batch needs no second copy.
+        // Only after all events: an execution that ended in this batch needs no hedged request.
         if !self.sweep_scheduled {
             self.sweep(now_us, out);
         }
         self.place_waiting(now_us, out);
-        // Those woken seldom are woken anew as something comes to wait.
+        // If the timer has the longer interval and a query has begun to wait, a shorter one is set.
         if (!self.sweep_scheduled || self.idle_sweep && !self.waiting.is_empty()) && !self.queries.is_empty()
         {
             self.sweep_scheduled = true;
@@ -99,8 +113,9 @@
         Ok(())
     }
 
-    /// A maximum is the work done within the target time at the learned pace, else at the others' mean for
-    /// its weight. Where candidates are probed only theirs need be current, the others' four times a second.
+    /// Recomputes the maxima: the work that a backend does within the target time, at its learned pace or
+    /// else at the others' mean for its weight. Where candidates are probed, only their maxima have to be
+    /// current; the others are recomputed four times a second.
     fn set_maxima(&mut self, now_us: u64) {
         let bound = |entry: &QueueKey| self.queries[&entry.2].binding_execution().is_some();
         let ids: Vec<u32> = if self.deployment.probes && now_us < self.next_maxima_us {
@@ -131,7 +146,8 @@
                 self.target_us,
                 self.fastest_probe_us,
             );
-            // One that stands still yields no outcomes: the oldest not passed by bounds its pace.
+            // A stalled backend yields no outcomes, so the oldest execution that wasn't overtaken bounds its
+            // pace.
             let ends = !self.deployment.probes && now_us >= self.unread.until_us;
             for (_, held) in backend.held.range(backend.last_completed_serial..).take(usize::from(ends)) {
                 let age_us = now_us.saturating_sub(held.sent_us).max(1);
@@ -144,27 +160,31 @@
         }
     }
 
-    /// Sizes each type's group by its share of the load units, in learned maxima, strongest first.
+    /// Rebuilds the subset and the groups. Each type's group gets learned capacity in proportion to the
+    /// type's share of the load, the strongest backends first.
     fn regroup(&mut self, now_us: u64) {
-        // A proxy that has just started knows no traffic: its first groups hold all and are soon rebuilt.
+        // A proxy that has just started has seen no traffic: its first groups contain all backends and are
+        // rebuilt soon.
         self.regroup_us = now_us + self.regroup_interval_us;
         self.regroup_interval_us = (self.regroup_interval_us * 2).min(REGROUP_INTERVAL_US);
-        // Nobody vouches for what the list has dropped and this proxy doesn't use.
+        // There is no evidence that a backend still works if it was removed from the list and isn't used
+        // here.
         let unused = |id: &u32| !self.subset.contains(id) && !self.remote_subset.contains(id);
         let others = self.fleet.iter_mut().filter(|(id, _)| unused(id));
         others.for_each(|(_, backend)| backend.phase_out_steps = backend.phase_out_steps.saturating_sub(1));
         let ids: Vec<u32> = self.fleet.values().filter(|b| b.ready()).map(|b| b.listed.backend).collect();
         (self.next_maxima_us, self.subset, self.remote_subset) = (0, Vec::new(), Vec::new());
         if self.deployment.probes {
-            // Each connection costs, and a backend holds only so many: a few of the own zone, drawn by lot.
+            // Each connection costs, and a backend accepts a limited number: use a few random ones of the own
+            // zone.
             self.draw_subset(ids, PROBING_SUBSET);
         } else {
-            // Where proxies are many, each uses its own part of the list, an arc.
+            // With many proxies, each uses its own contiguous part of the list, an arc.
             let many = MIN_ARC * self.proxy_count > MAX_PROXIES_PER_BACKEND * ids.len();
             let few = if self.deployment.peers { many } else { self.deployment.connection > 0.0 };
             let least = if few { MIN_ARC_COSTLY } else { MIN_ARC };
             let part = (PROXIES_PER_BACKEND * ids.len()).div_ceil(self.proxy_count).max(least).min(ids.len());
-            // So that a zone that is cut off leaves each proxy some of a small arc.
+            // So that a partitioned zone leaves each proxy some backends, even of a small arc.
             let ids = if self.deployment.peers { self.interleave_zones(&ids) } else { ids };
             self.assign_arc(&ids, part);
         }
@@ -192,7 +212,7 @@
         self.traffic = self.traffic.map(|traffic| traffic / 2.0);
     }
 
-    /// Whether rule 2 lets this query have a further execution on this backend now.
+    /// Whether rule 2 (repeated executions) permits a further execution of this query on this backend now.
     fn repeat_allowed(&self, qry: &Query, on: &Listed, now_us: u64) -> bool {
         let Some(first) = qry.binding_execution() else { return true };
         let workload = &self.workloads[qry.workload];
@@ -208,7 +228,8 @@
         }
     }
 
-    /// Rule 4: this proxy's share of what a cold backend bears in a window, by the slowest pace seen.
+    /// Rule 4 (cold backends): whether the work fits into this proxy's share of what a cold backend can take
+    /// in a window, at the slowest pace seen.
     fn within_cold_budget(&self, backend: &Backend, work: f64, now_us: u64) -> bool {
         let window_us = self.cold.window_us.max(1);
         let warmth = |at: &Backend| at.warmup_factor(&self.cold, now_us.saturating_sub(window_us / 2));
@@ -216,11 +237,13 @@
         let sent = backend.cold_work_since(now_us.saturating_sub(window_us));
         let (users, luck, begun_us) = self.turn(backend, now_us, window_us);
         let part = bears / (users * self.processes) as f64;
-        // A part below one query is dealt in turns that add up to the whole, each to be taken in its first
-        // half, none that began before the start was heard of: what has gathered would go at once.
+        // A share below one query is granted in turns that add up to the share. A turn may only be used in
+        // its first half and only if it began after the start was known; otherwise turns of several proxies
+        // would be used at once.
         let dealt =
             luck * work < part && begun_us >= backend.start_heard_us && now_us < begun_us + window_us / 2;
-        // Who has just started knows no pace and may follow one that sent there. Parts are for their users.
+        // A proxy that has just started knows no pace, and may replace a process that has sent work there
+        // already. Only the proxies that have the backend in their subset have a share.
         let young = |of: bool| of && self.subset_backends().any(|at| warmth(at) >= 1.0);
         let follows = backend.since_us < self.first_list_us && now_us < self.first_list_us + window_us;
         let within = || sent + work <= part && !young(follows) || sent <= 0.0 && dealt;
@@ -229,7 +252,8 @@
         warmth(backend) >= 1.0 || within() && ours() && knows()
     }
 
-    /// Whether what this proxy has out is what crowded backends hold of it; none are at 0.9 of their cores.
+    /// Whether this proxy has as much in flight as its share at overloaded backends. Always false where load
+    /// is known from probes, peers, or a reported utilisation below 0.9.
     fn inferred_overload(&self, now_us: u64) -> bool {
         let told =
             self.deployment.probes || self.deployment.peers || (1e-9..0.9).contains(&self.mean_utilisation);
@@ -243,7 +267,8 @@
     }
 
     /// Whether the executions of this workload fail far more often than another's on the same backends; and
-    /// whether they hold these up: one goes out at a time then, none for a while after each that fails.
+    /// whether they block these backends: then only one is sent at a time, and none for a while after each
+    /// failure.
     fn suspect_workload(&self, workload: usize) -> (bool, bool) {
         let others = self.failure_rates.iter().enumerate().filter(|(other, _)| *other != workload);
         let least = others.filter(|(_, of)| of.count >= 8).map(|(_, of)| of.mean).fold(1.0, f64::min);
@@ -253,7 +278,7 @@
         (own > (least * 2.0).max(SUSPECT_FAILURE_RATE), holds_up)
     }
 
-    /// Whether rules, health and room for its kind let this query go to this backend at all.
+    /// Whether the rules, health and execution limit permit this query on this backend at all.
     fn usable(&self, qry: &Query, backend: &Backend, now_us: u64) -> bool {
         backend.open(now_us, qry.importance)
             && (self.deployment.probes || (backend.execution_count() as f64) < self.execution_limit)
@@ -262,18 +287,20 @@
             && self.within_cold_budget(backend, qry.work, now_us)
     }
 
-    /// Work of this backend's that a crossing costs a query, by its importance against the others'.
+    /// The cost of placing a query on this backend, in units of its work: for crossing zones, by the query's
+    /// importance relative to the others', and for answers lost recently.
     fn placement_cost(&self, qry: &Query, backend: &Backend) -> f64 {
         let far = self.deployment.zone.is_some_and(|zone| zone != backend.listed.zone);
         let worth = qry.importance * qry.work / self.mean_importance.max(1e-9);
         let crossing = f64::from(u8::from(far)) * self.deployment.cross_zone_cost / worth.max(1e-3);
-        // One that must never run twice has one chance: what lost answers lately loses it by as much.
+        // A query that must not be executed twice is lost with its answer, so recently lost answers count as
+        // a cost.
         let once = self.workloads[qry.workload].repeat == Repeat::NonIdempotent;
         let lost = f64::from(u8::from(once) * backend.failures.count_ones() as u8) * LOST_ANSWER_COST;
         (crossing + lost) * qry.slo_us as f64 * backend.pace
     }
 
-    /// The next in the smooth weighted rotation of those in the group that `may` be used.
+    /// The next in the smooth weighted round robin among the group's members that `may` be used.
     fn rotate(&mut self, kind: usize, may: &[u32]) -> Option<u32> {
         let mut among: Vec<&mut Member> =
             self.groups[kind].iter_mut().filter(|member| may.contains(&member.backend)).collect();
@@ -286,8 +313,9 @@
         Some(next.backend)
     }
 
-    /// Probes candidates: the group's next in rotation, and unless it is light some of the group, where none
-    /// of them fits of the zone, of all where the wait costs more than crossing. True once the best is known.
+    /// Probes candidates: the group's next in rotation; unless that is lightly loaded, some of the group; if
+    /// none of them fits, some of the zone; and some of all where waiting costs more than crossing zones.
+    /// True once the best is known.
     fn ask(&mut self, id: &str, now_us: u64, out: &mut dyn Writer) -> bool {
         loop {
             let qry = &self.queries[id];
@@ -295,12 +323,14 @@
             let spare = |backend: &Backend| backend.spare_capacity() - self.placement_cost(qry, backend);
             let asked = qry.asked.iter().map(|at| &self.fleet[at]).filter(usable);
             let best = asked.max_by(|a, b| spare(a).total_cmp(&spare(b)));
-            // One mean query on the rotation's next leaves it light: more cores than one can't be told.
+            // The next in rotation is still lightly loaded with one mean query: whether it has several cores
+            // is unknown.
             let light = if qry.probe_waves == 1 { TYPE_LOADS[1] } else { 0.0 };
             let fits = |best: &Backend| qry.probe_waves > 1 && best.load() + qry.load <= best.max;
             let enough = |best: &Backend| best.load() <= light.max(best.max / 10.0) || fits(best);
             if best.is_some_and(enough) || qry.probe_waves >= MAX_PROBE_WAVES {
-                // What was found, in maxima: the next queries may be turned away for it without a probe.
+                // The load found, as a multiple of the maximum: the next queries may be rejected for it
+                // without a probe.
                 let found =
                     best.filter(|at| at.probe_in_flight.is_none()).map(|at| at.load() / at.max.max(1e-9));
                 self.probed_load =
@@ -346,7 +376,7 @@
         }
     }
 
-    /// One probe of a backend is out at a time, unless it never returns.
+    /// Probes a backend, unless a probe is pending there that doesn't count as lost.
     fn probe(&mut self, id: u32, now_us: u64, out: &mut dyn Writer) {
         let backend = self.fleet.get_mut(&id).expect("only listed backends are probed");
         if backend.probe_in_flight.is_none_or(|(sent_us, _)| now_us > sent_us + PROBE_LOST_AFTER_US) {
@@ -355,6 +385,7 @@
         }
     }
 
+    /// Chooses a backend for a query, or for a hedged request if `second`.
     fn choose(&mut self, id: &str, now_us: u64, second: bool, out: &mut dyn Writer) -> Option<u32> {
         if self.inferred_overload(now_us) {
             return None;
@@ -365,7 +396,7 @@
         }
         let mut rng = self.rng.fork();
         let qry = &self.queries[id];
-        // Of what probes found the less is borne the less important the query is.
+        // The less important the query, the lower the probed load up to which it is placed.
         let least =
             |at: &Backend| at.load() <= (at.max * OVERLOAD_FACTOR * qry.importance).max(ALWAYS_ACCEPTED_LOAD);
         let known = |at: &Backend| {
@@ -382,18 +413,19 @@
                 own.push(member.backend);
             }
         }
-        // Rotation would send a long tail to the slowest as readily as to the fastest.
+        // The rotation would send a long-tail query to the slowest backend as readily as to the fastest.
         if load <= max / 10.0 && !own.is_empty() && !tail && !asks {
             return self.rotate(kind, &own);
         }
-        // A long tail is past every maximum: it fits where it would end within its SLO time.
+        // A long-tail query exceeds every maximum: it fits where it would end within its SLO time.
         let left_us = qry.slo_remaining_us(now_us) as f64;
         let (load, work, reach) = (qry.load, qry.work, 1.0 + qry.importance);
         let fits = |at: &Backend| match tail {
             true => at.load() < at.max && at.work() + work <= at.pace * left_us,
             false => at.idle() && at.found <= 0.0 && work <= at.pace * left_us || at.load() + load <= at.max,
         };
-        // Past the maxima the more important go further; the rest waits where it can still be rejected.
+        // More important queries may exceed the maximum further; the others wait here, where they can still
+        // be rejected.
         let bears = |backend: &Backend| !second && backend.load() < backend.max * reach;
         let mut roomiest = |among: &[u32], takes: &dyn Fn(&Backend) -> bool| {
             let (mut best, mut most, mut ties) = (None, f64::NEG_INFINITY, 0);
@@ -408,7 +440,7 @@
             }
             best
         };
-        // A bound query's group may lie outside the part.
+        // The deduplication group of a query that may have run may lie outside the subset.
         let mut all = match qry.binding_execution() {
             _ if asks => qry.asked.clone(),
             Some(_) => self.fleet.keys().copied().collect(),
@@ -419,6 +451,7 @@
         first.or_else(|| roomiest(&own, &bears)).or_else(|| roomiest(&all, &bears))
     }
 
+    /// Sends an execution of a query to a backend.
     fn execute(&mut self, qry: &str, id: u32, now_us: u64, out: &mut dyn Writer) {
         self.last_serial += 1;
         let qry = self.queries.get_mut(qry).expect("placed queries are live");
@@ -436,6 +469,7 @@
         backend.notify_peers(told, out);
     }
 
+    /// Places the waiting queries, in order, and gives up those that have no chance left.
     fn place_waiting(&mut self, now_us: u64, out: &mut dyn Writer) {
         let mut full = false;
         for entry in self.waiting.clone() {
@@ -449,17 +483,17 @@
             } else if last_chance || self.queries[&entry.2].probing_done(&self.fleet) {
                 self.give_up(&entry.2, now_us, out);
             }
-            // What even an unbound query finds full is full for the less important after it.
+            // If an unrestricted query finds no room, neither will the less important ones after it.
             full |= place.is_none() && !bound && !self.deployment.probes;
         }
     }
 
-    /// The final answer to a query that gets no further execution, at once.
+    /// Immediately sends the final answer to a query that gets no further execution.
     fn give_up(&mut self, id: &str, now_us: u64, out: &mut dyn Writer) {
         let wait_us = self.expected_wait_us(Reverse(0)) as u64;
         let qry = &self.queries[id];
         let workload = &self.workloads[qry.workload];
-        // Past its SLO time another try would be for nothing.
+        // After its SLO time a retry would earn nothing.
         let past = workload.tardy_importance <= 0.0 && qry.slo_remaining_us(now_us) < self.target_us as u64;
         let wait_us = if past { u64::MAX } else { wait_us };
         let all = workload.repeat == Repeat::Deduplicated && workload.group == DedupGroup::All;
@@ -471,12 +505,13 @@
         self.close(id, out);
     }
 
-    /// Shuts a backend whose last few outcomes are bad and twice as bad as its peers': when all fail
-    /// alike it is no backend's fault, and about a third of the part is shut at most.
+    /// Records an outcome and ejects a backend whose recent outcomes are bad and twice as bad as the others'.
+    /// If all fail alike no single backend is at fault; at most about a third of the subset is ejected.
     fn update_health(&mut self, id: u32, success: bool, now_us: u64) {
         let judged = self.fleet.get_mut(&id).expect("only listed backends are used");
         judged.failures = judged.failures << 1 | u8::from(!success);
-        // Where the list is no proof, answers are: each takes one that was dropped a step up, a failure down.
+        // For a backend removed from a list that isn't binding, outcomes decide: a success raises its use by
+        // one step, a failure lowers it.
         let dropped = judged.phase_out_steps > 0;
         if dropped {
             judged.phase_out_steps = if success {
@@ -496,7 +531,7 @@
         let shut = self.subset_backends().filter(|backend| backend.ejection_us > 0).count() as u32;
         let (ready, all): (u32, u32) = (self.subset.len() as u32, self.subset_backends().map(recent).sum());
         let backend = self.fleet.get_mut(&id).expect("only listed backends are used");
-        // Where outcomes are few, one failure tells as much as three do elsewhere, and for longer.
+        // Probing proxies see few outcomes, so one failure counts like three elsewhere, and for longer.
         let (least, rest_us) = if self.deployment.probes { (1, 2_000_000) } else { (3, 500_000) };
         let worse = recent(backend) >= least && recent(backend) * ready >= 2 * all && shut * 3 < ready;
         if backend.ejection_us > 0 || worse {
@@ -506,23 +541,27 @@
         }
     }
 
+    /// Periodic work: decays estimates, gives up queries that have waited too long, and sends hedged
+    /// requests.
     fn sweep(&mut self, now_us: u64, out: &mut dyn Writer) {
         if now_us >= self.next_decay_us {
             self.next_decay_us = now_us + MAXIMA_INTERVAL_US;
-            // Without new outcomes an old pace fades, or a backend that was slow once would stay unused.
+            // Old paces decay without new outcomes; otherwise a backend that was slow once would stay unused.
             self.fleet.values_mut().for_each(|backend| backend.decay_paces(now_us, 5_000_000));
             self.execution_limit =
                 (self.execution_limit * LIMIT_RECOVERY_FACTOR).min(EXECUTION_LIMIT_REPORTED);
         }
         self.find_late(now_us);
-        // Half the SLO time in vain here leaves too little for the rest: a prompt answer is better.
+        // After half the SLO time in the queue too little is left for the execution: a prompt rejection is
+        // better.
         let waiting = self.waiting.iter().map(|entry| &self.queries[&entry.2]);
         let stale = waiting.filter(|qry| now_us > qry.arrived_us + qry.slo_us / 2);
-        // Where time-outs are longer than what a query is worth, its end is looked for here.
+        // Where clocks differ, time-outs exceed the time in which an answer is worth anything, so its end is
+        // checked here.
         let ended =
             self.queries.values().filter(|qry| !qry.finished && qry.out() && qry.remaining_us(now_us) == 0);
         let ended = ended.filter(|_| self.deployment.clocks.deadline_us > 0);
-        // What holds up its backend would be late in any case, and so would what waits behind it.
+        // A query that blocks its backend would be late in any case, as would those queued behind it.
         let holds: Vec<bool> = (0..self.failure_rates.len()).map(|of| self.suspect_workload(of).1).collect();
         let late = |qry: &&Query| {
             !qry.finished && holds[qry.workload] && qry.executions.iter().any(|at| at.out && at.late)
@@ -531,16 +570,17 @@
         for id in stale.chain(ended).chain(late).map(|qry| qry.id.clone()).collect::<BTreeSet<String>>() {
             self.give_up(&id, now_us, out);
         }
-        // A second copy leaves a backend that is slow against its peers, never one among a slow fleet, within
-        // a budget that overload spends at once: further executions must not feed it. Where copies may not
-        // run side by side what is lost is called off first; an answered probe tells that it was passed.
+        // Hedged requests are sent only if the backend is slow relative to the others, not if all are slow,
+        // and within a retry budget that overload exhausts at once, so that further executions don't amplify
+        // it. Where executions may not run concurrently, a lost one is cancelled first; an answered probe
+        // shows that it was overtaken.
         let usual = mean_or(self.subset_backends().map(|backend| backend.pace), 0.0);
         let late = |qry: &Query| {
             let (ran, two) = (qry.executions.len(), qry.limits.may_duplicate);
             let exec = qry.executions.last().filter(|exec| exec.out && !exec.cancel_sent)?;
             let once = self.workloads[qry.workload].repeat == Repeat::NonIdempotent;
             let may = if two { ran == 1 } else { self.deployment.probes && qry.limits.cancel && !once };
-            // One whose deadline is reached gets none: its time-out is on its way here.
+            // After the deadline there is none: the time-out is about to arrive here.
             let late_us = exec.sent_us + (2 * exec.expected_duration_us).max(qry.slo_us / 3);
             let may = may && !self.suspect_workload(qry.workload).0;
             let due = may && !qry.finished && qry.may_retry(now_us) && now_us > late_us;
@@ -567,6 +607,8 @@
 }
 
 impl Inbox<'_> {
+    /// A query has arrived, with the remaining time of its client and an optional cost hint; `is_retry` marks
+    /// one that its client has sent before. Fails if the workload does not exist.
     pub fn query(
         &mut self,
         id: &str,
@@ -574,7 +616,7 @@
         tenant: usize,
         ttl_us: u64,
         hint_us: Option<u64>,
-        again: bool,
+        is_retry: bool,
     ) -> Result<(), String> {
         let b = &mut *self.balancer;
         let about = b.workloads.get(workload).ok_or_else(|| format!("unknown workload {workload}"))?;
@@ -586,27 +628,30 @@
         hint_us.into_iter().for_each(|hint_us| b.record_hint(hint_us as f64));
         let units = hint_us.filter(|_| b.unit_us > 0.0).map(|hint_us| hint_us as f64 / b.unit_us);
         let kind = TYPE_CUTOFFS.iter().filter(|cut| units.is_some_and(|units| units >= **cut)).count();
-        // The exception for long tails: past the heaviest value a query counts what its hint says.
+        // The exception for long tails: above the heaviest type's value, the hint itself is the load.
         let load = units.filter(|_| kind == 3).map_or(TYPE_LOADS[kind], |units| units.max(TYPE_LOADS[3]));
         b.traffic[kind] += load;
-        // Some cannot end in time even on the fastest backend: they would only keep it from the others.
+        // Some queries can't end in time even on the fastest backend: they would only keep it from the
+        // others.
         let fastest = b.speeds.at(0.9).filter(|_| b.speeds.len() >= MIN_SPEED_SAMPLES);
         let takes_us = hint_us.zip(fastest).map_or(0.0, |(hint, fastest)| hint as f64 * 1e3 / fastest);
         if takes_us > slo_us as f64 {
             importance *= tardy;
         }
-        // What is late earns nothing: it would only keep its backend from others. Probing proxies move it.
+        // A late answer earns nothing, so its execution would only occupy a backend. Probing proxies move it
+        // instead.
         let late = tardy <= 0.0 && !b.deployment.probes && b.limits.max_backoff_us > 0;
         b.retry_budget = (b.retry_budget + 0.1).min(20.0);
         let mut qry = Query::new(id, b.last_serial + 1, workload, self.now_us, b.limits);
         (qry.kind, qry.load, qry.work) = (kind, load, units.unwrap_or(load));
         (qry.slo_us, qry.importance) = (slo_us, importance);
         qry.set_deadline(ttl_us, b.deployment.clocks.deadline_us, late);
-        // What would only wait for a buffer is not executed, and is told when one is free.
+        // A query that would only wait for a response buffer is rejected, with a back-off until one is free.
         let unread = b.unread.until_us > qry.deadline_us;
         let (left_us, place) = (qry.remaining_us(self.now_us), qry.queue_key());
         b.admit(qry);
-        // By chance, from a fiftieth of the SLO time in expected wait to an eighth; the cheap wait longer.
+        // Rejects with a probability that rises from 0 at an expected wait of 0.02 of the SLO time to 1 at
+        // 0.12; for the less important the expected wait is longer.
         let chance = if b.deployment.probes {
             let age_us = self.now_us.saturating_sub(b.probed_load.0) as f64;
             let strain = b.probed_load.1 * (1.0 - age_us / PROBED_LOAD_TTL_US).max(0.0);
@@ -618,8 +663,9 @@
         let rests = self.now_us < b.failure_rates[workload].paused_until_us;
         let held_up =
             holds_up && (rests || b.queries.values().any(|qry| qry.workload == workload && qry.out()));
-        // What brings down or hangs whoever takes it comes back as any other does: its first try is enough.
-        if takes_us > left_us as f64 || again && suspect || held_up || unread || b.rng.f64() < chance {
+        // Clients also retry queries that crash or hang every backend that takes them, so a suspect one isn't
+        // executed again.
+        if takes_us > left_us as f64 || is_retry && suspect || held_up || unread || b.rng.f64() < chance {
             b.give_up(id, self.now_us, self.out);
         } else {
             b.waiting.insert(place);
@@ -627,6 +673,7 @@
         Ok(())
     }
 
+    /// An execution has ended; `over` if no further execution is needed.
     pub fn outcome(
         &mut self,
         id: &str,
@@ -641,19 +688,22 @@
         let spent = qry.remaining_us(now_us) == 0;
         let Some(exec) = qry.executions.get_mut(execution as usize).filter(|exec| exec.out) else { return };
         let backend = b.fleet.get_mut(&exec.backend).expect("only listed backends are used");
-        // Where clocks differ a client's time may end before ours: that is no backend's fault. What was
-        // called off at the end of its worth stands for the time-out that it did not get.
+        // Where clocks differ, the client's deadline may pass earlier than assumed here, which is not the
+        // backend's fault. A cancellation at the end of the query's worth counts as the time-out that it
+        // replaced.
         let error_us = b.deployment.clocks.deadline_us;
         let cut = error_us > 0 && matches!(ended, Ended::TimedOut | Ended::NotSent);
         let cut = cut && now_us + SWEEP_INTERVAL_US < qry.longest_us;
-        // Nor is it his that the buffers here were taken, and the time taken then is not his pace.
+        // Nor is it the backend's fault if the response buffers here were full; the time taken then says
+        // nothing of its pace.
         let unread = b.unread.last_full_us > exec.sent_us;
         qry.deadline_us = if cut { qry.deadline_us.min(now_us) } else { qry.deadline_us };
         let gone = error_us > 0 && ended == Ended::Cancelled && spent;
         let ended = if gone { Ended::TimedOut } else { ended };
-        // One ahead of ours holds for expired what we hold to be in time: full by its clock, not by its load.
+        // A backend whose clock is ahead treats a query as expired that is still in time here: that isn't
+        // overload.
         let by_clock = qry.longest_us.saturating_sub(now_us) < error_us * 2 && backend.load() < backend.max;
-        // Who breaks all he has in work has died: he comes back cold, whatever the list says so far.
+        // A backend that drops all its executions has died: it returns cold, whatever the list says so far.
         let breaks = ended == Ended::Dropped && !over && backend.listed.phase == Phase::Ready;
         let (died, held_there) = (
             breaks && backend.record_drop(now_us),
@@ -677,14 +727,16 @@
         let teaches = completed || ended == Ended::TimedOut && !b.deployment.probes;
         if let Some(held) = held.filter(|_| teaches && !unread) {
             backend.record_pace(held.work_at_send / took_us.max(1) as f64, 16, now_us);
-            // What passed beyond its own work went to a crowd of others: stay away so that all take turns.
+            // Time beyond the execution's own work was spent on other proxies' load: pause, so that all
+            // proxies take turns.
             let alone_us = b.speeds.at(0.9).map_or(0.0, |fastest| held.work * b.unit_us * 1e3 / fastest);
             let extra_us = (took_us as f64 - alone_us - b.target_us).clamp(0.0, 1e6);
             let unseen = backend.sharing_peers.len().saturating_sub(PROXIES_PER_BACKEND) as f64;
             backend.cooldown = (now_us, extra_us * unseen / 2.0);
         }
         if ended == Ended::Unreachable || ended == Ended::Rejected && !by_clock {
-            // It says itself that it is full; as it answers at once it would else look the roomiest.
+            // The backend itself says that it is full; since it answers at once, it would otherwise appear to
+            // have the most spare capacity.
             backend.ejected_until_us = backend.ejected_until_us.max(now_us + 2 * b.target_us as u64);
         }
         let lost = b.deployment.probes && (ended == Ended::TimedOut || exec.cancel_sent);
@@ -707,7 +759,7 @@
             b.close(id, self.out);
         } else if !out {
             let qry = &b.queries[id];
-            // What reached no backend, or hardly, burdens none, so it takes nothing from the budget.
+            // An execution that reached no backend, or hardly did, loads none and costs no retry budget.
             let untaken = b.deployment.probes && ended == Ended::Rejected;
             let price = if untaken || matches!(ended, Ended::Unreachable | Ended::Stale) { 0.0 } else { 1.0 };
             let once = qry.executions.len() < 2 && qry.importance >= 1.0;
@@ -726,7 +778,8 @@
         }
     }
 
-    /// A probe is back: what it waited for, or what the backend says it holds, is the load there.
+    /// A probe has ended: the time it waited, or the executions that the backend reports, give the load
+    /// there.
     pub fn probe_outcome(&mut self, id: u32, ended: Ended, took_us: u64, report: Option<LoadReport>) {
         let (b, now_us) = (&mut *self.balancer, self.now_us);
         let Some(backend) = b.fleet.get_mut(&id).filter(|backend| backend.probe_in_flight.is_some()) else {
@@ -734,7 +787,8 @@
         };
         b.fastest_probe_us =
             if ended == Ended::Completed { b.fastest_probe_us.min(took_us) } else { b.fastest_probe_us };
-        // One that took no more probes is well past its maximum, one that said nothing farther.
+        // A backend that rejects probes is assumed to be well above its maximum, one that does not answer
+        // even further.
         let maxima = if ended == Ended::Rejected { 4.0 } else { 8.0 };
         let silent = (ended != Ended::Completed).then_some(maxima * backend.max);
         let waited_us = took_us.saturating_sub(b.fastest_probe_us);
@@ -746,16 +800,19 @@
         }
     }
 
-    /// Asks anew after a jittered wait, as long as `retry` says.
+    /// The call to discovery has failed: requests the list again after a jittered wait, as `retry`
+    /// determines.
     pub fn list_failed(&mut self, failure: Failure) {
         let b = &mut *self.balancer;
         self.out.wake(b.rng.u64(b.retry.failed(failure)), "ask");
     }
 
+    /// Entries of the list of backends have arrived: the complete list if `whole`, else the changed ones.
     pub fn list(&mut self, whole: bool, items: &[Listed]) {
-        // Parts are cut from the whole list: where they are, one that leaves moves them all.
+        // Arcs are cut from the complete list: where there are any, a backend that leaves moves them all.
         let b = &mut *self.balancer;
-        // Probes show what many others' queries weigh: who is one of few knows a large part himself.
+        // Probes show the load of other proxies: with few proxies, each knows a large part of the load
+        // itself.
         b.deployment.probes &= b.first_list_us > 0 || b.proxy_count > items.len();
         let (came, left, held) = b.listed(whole, items, self.now_us);
         b.lower_execution_limit(held);
--- a/src/inbox.rs
+++ b/src/inbox.rs
@@ -38,8 +38,8 @@
         }
     }
 
-    /// The body of the latest execution has begun to be sent, after which no further execution is possible, or
-    /// has been sent completely.
+    /// The body of the latest execution has begun to be sent, after which no further execution is possible,
+    /// or has been sent completely.
     pub fn body_progress(&mut self, id: &str, whole: bool) {
         self.balancer.body_progress(id, whole, self.now_us);
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -176,8 +176,8 @@
     pub removal_not_binding: bool,
     /// How many answers the proxy can buffer while clients read them; none where this is unbounded.
     pub response_buffers: Option<usize>,
-    /// A proxy that neither watches the list nor has requested it for this long counts as notified of the changes
-    /// that it missed; none where the list is pushed, or the settings do not say.
+    /// A proxy that neither watches the list nor has requested it for this long counts as notified of the
+    /// changes that it missed; none where the list is pushed, or the settings do not say.
     pub ask_within_us: Option<u64>,
     /// The possible clock errors.
     pub clocks: ClockError,
--- a/src/judge.rs
+++ b/src/judge.rs
@@ -1,5 +1,6 @@
-//! What is judged of a backend, a tenant's share or the wait by what kept.rs remembers: how warm and fast a
-//! backend is held to be, which executions count as lost, when old paces fade. Called by `balance`.
+//! Estimates derived from the state in kept.rs, for `balance`: the warm-up and pace of a backend, which
+//! executions count as lost, when old paces decay, whether a query is within its tenant's quota, and the
+//! expected wait.
 
 use crate::balance::{MIN_EXECUTION_LIMIT, RESTART_LIMIT_FACTOR};
 use crate::interface::*;
@@ -7,7 +8,7 @@
 use std::cmp::Reverse;
 
 impl Backend {
-    /// The part of its capacity that a started backend surely has; 1 once it is warm.
+    /// The fraction of its capacity that a recently started backend is certain to have; 1 once it is warm.
     pub fn warmup_factor(&self, cold: &ColdRule, now_us: u64) -> f64 {
         let age_us = now_us.saturating_sub(self.since_us);
         let warm = self.since_us == 0 || age_us >= cold.cold_us;
@@ -15,13 +16,15 @@
         cold.start_capacity + (1.0 - cold.start_capacity) * age
     }
 
-    /// The part of its use that is left: all, unless the list has dropped it.
+    /// The remaining fraction of its use while it is phased out: 1 unless it was removed from the list.
     pub fn phase_out_factor(&self) -> f64 {
         let steps = if self.listed.phase == Phase::Ready { PHASE_OUT_STEPS } else { self.phase_out_steps };
         f64::from(steps) / f64::from(PHASE_OUT_STEPS)
     }
 
-    /// Takes in what a probe waited for or was told, less what is ours; `silent` where it was not answered.
+    /// Records the result of a probe: the work of others there, from the reported executions at a load of
+    /// `each` or from the time the probe waited, less this proxy's own; `silent` is the work assumed if the
+    /// probe was not answered.
     pub fn record_probe(
         &mut self,
         now_us: u64,
@@ -39,8 +42,8 @@
         self.record_report(report);
     }
 
-    /// Sets what follows from its outcomes, notes and probes by now. `usual_pace` stands for it without
-    /// outcomes and counts as `sure` of them beside.
+    /// Recomputes the estimates that follow from outcomes, notes and probes. `usual_pace` is the prior for
+    /// its pace, with the weight of `sure` outcomes.
     pub fn refresh_estimates(
         &mut self,
         now_us: u64,
@@ -55,16 +58,17 @@
         let (count, learned) = (self.paces.len() as f64, self.median_pace.unwrap_or(usual_pace));
         self.pace = (learned * count + usual_pace * sure) / (count + sure);
         self.found = (self.seen.1 - self.pace * now_us.saturating_sub(self.seen.0) as f64).max(0.0);
-        // One that has not answered yet holds at least what it could have done meanwhile.
+        // A backend that hasn't answered its probe yet has at least the work that it could have done since.
         let silent =
             self.probe_in_flight.map(|sent| now_us.saturating_sub(sent.0.saturating_add(quickest_us)));
         self.found = self.found.max(silent.unwrap_or(0) as f64 * self.pace);
-        // What later completions have passed by hangs on a dead connection once it is late as well.
+        // An execution that later ones have overtaken, and that is late as well, hangs on a dead connection.
         let (pace, passed) = (self.pace.max(1e-9), self.last_completed_serial);
         let late_us = |held: &Held| held.sent_us + (2.0 * target_us.max(held.work / pace)) as u64;
         self.held.range_mut(..passed).for_each(|(_, held)| held.lost = now_us > late_us(held));
     }
 
+    /// Halves the weight of the recorded paces if no outcome came for `after_us`.
     pub fn decay_paces(&mut self, now_us: u64, after_us: u64) {
         if now_us > self.sampled_us + after_us {
             self.paces.halve();
@@ -74,26 +78,29 @@
 }
 
 impl Query {
-    /// The one notion of time left, from what its client told, which may be off by `error_us` either way. It
-    /// is taken for the longest that it may be: to give up a query that has time loses it, while one whose
-    /// client has gone ends with him. Where late answers earn nothing the SLO time bounds it.
+    /// Sets the deadline from the remaining time that the client sent, which may be off by `error_us` either
+    /// way; all other times left derive from it. The longest possible time is assumed: giving up a query that
+    /// still has time loses it, while a query whose client has gone ends with the client. Where late answers
+    /// earn nothing, the SLO time bounds it.
     pub fn set_deadline(&mut self, ttl_us: u64, error_us: u64, late_for_nothing: bool) {
         self.longest_us = self.arrived_us.saturating_add(ttl_us).saturating_add(error_us);
         let worth_us = if late_for_nothing { self.slo_us } else { u64::MAX };
         self.deadline_us = self.longest_us.min(self.arrived_us.saturating_add(worth_us));
     }
 
+    /// The time left until the deadline.
     pub fn remaining_us(&self, now_us: u64) -> u64 {
         self.deadline_us.saturating_sub(now_us)
     }
 
-    /// What is left of it until its answer is no longer on time.
+    /// The time left until its answer would miss the SLO time.
     pub fn slo_remaining_us(&self, now_us: u64) -> u64 {
         self.deadline_us.min(self.arrived_us + self.slo_us).saturating_sub(now_us)
     }
 
-    /// An execution's time-out. A backend whose clock is ahead holds one that ends soon for expired: where
-    /// clocks differ it is the longest, and this proxy calls off what is no longer worth it.
+    /// The time-out of an execution. A backend whose clock is ahead would treat one that ends soon as
+    /// expired, so where clocks differ it is the longest possible, and this proxy cancels executions that
+    /// have lost their worth.
     pub fn timeout_us(&self, now_us: u64, error_us: u64) -> u64 {
         match error_us > 0 && self.limits.cancel {
             true => self.longest_us.saturating_sub(now_us),
@@ -103,7 +110,8 @@
 }
 
 impl QuotaBucket {
-    /// Takes one query from what has gathered over a second, or at most `SHARE_KEPT` where that is more.
+    /// Takes one token; false if there is none. The bucket holds what it gains in a second, at least
+    /// `MIN_QUOTA_BURST`.
     pub fn try_take(&mut self, now_us: u64) -> bool {
         let gained = self.rate_per_us * now_us.saturating_sub(self.refilled_us) as f64;
         (self.left, self.refilled_us) =
@@ -115,8 +123,9 @@
 }
 
 impl Balancer {
-    /// A backend has died or started anew without draining, with `held` there as far as was known. Whatever
-    /// did that may do it to those that get its load: all are held to less, which comes back with time.
+    /// A backend has died or restarted without draining, with `held` executions known to be there. The cause
+    /// may also bring down the backends that take over its load, so the limit is lowered for all; it recovers
+    /// with time.
     pub(crate) fn lower_execution_limit(&mut self, held: Option<f64>) {
         let Some(held) = held else { return };
         self.execution_limit = (self.execution_limit.min(held.max(1.0)) * RESTART_LIMIT_FACTOR)
@@ -124,9 +133,10 @@
             .min(self.execution_limit);
     }
 
-    /// Counts what is out for longer than twice its work and three target times as failed, once: by its
-    /// time-out all behind it has failed too, and nobody could tell which it was. Where more are than there
-    /// are buffers for answers, from several backends, and none has come back since, slow readers hold all.
+    /// Counts executions in flight for longer than twice their work plus three target times as failed, once:
+    /// by the time-out everything queued behind has failed too, and the cause could no longer be identified.
+    /// If more are late than there are response buffers, at several backends, and no answer has arrived
+    /// since, slow readers hold all buffers.
     pub(crate) fn find_late(&mut self, now_us: u64) {
         let (target_us, unit_us, back_us) =
             (self.target_us * 3.0, self.unit_us * 2.0, self.unread.last_response_us);
@@ -148,7 +158,7 @@
         self.unread.last_full_us = if several { now_us } else { self.unread.last_full_us };
     }
 
-    /// How long the work that waits at this rank or above takes the fleet at its learned paces.
+    /// How long the queued work of at least this importance takes at the learned paces of the backends.
     pub(crate) fn expected_wait_us(&self, rank: Reverse<u64>) -> f64 {
         let before = self.waiting.iter().take_while(|entry| entry.0 <= rank);
         let ahead: f64 = before.map(|entry| self.queries[&entry.2].work).sum();
--- a/src/kept.rs
+++ b/src/kept.rs
@@ -1,4 +1,4 @@
-//! What the decisions in `balance` remember. Nothing is decided here.
+//! The state of the decisions in `balance`. Nothing is decided here.
 
 use crate::interface::*;
 use crate::retry::Retry;
@@ -7,22 +7,25 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Queries a tenant may save up at the least: a share of a quota over many proxies holds less than one.
+/// The minimum burst of a tenant's quota bucket: with many proxies one proxy's share gains less than one
+/// query per second.
 pub(crate) const MIN_QUOTA_BURST: f64 = 4.0;
-/// Waves of candidates that a query has probed for it: rotation's next, its group, the part, those beyond.
+/// The waves in which candidates are probed for a query: the next in rotation, its group, the proxy's subset,
+/// and the remote subset.
 pub const MAX_PROBE_WAVES: u32 = 4;
-/// Of the use of a backend that the list drops.
+/// The steps in which a backend that was removed from the list is phased out.
 pub const PHASE_OUT_STEPS: u8 = 4;
-/// Executions dropped together that tell a death from answers that break off one by one, and within what time: an answer
-/// that can't be read, or breaks off, is dropped too, and says nothing of the others.
+/// Executions dropped within `DEATH_WINDOW_US` from which a backend counts as dead. A single drop doesn't
+/// suffice: an answer that can't be read, or that breaks off, is also a drop, and says nothing about the
+/// other executions.
 pub const DEATH_DROPS: u32 = 3;
 const DEATH_WINDOW_US: u64 = 10_000;
-/// Longer than any body is on its way: an execution that counts as sent then is late for nobody.
+/// Longer than the transfer of any body: an execution whose send time lies this far ahead is never late.
 pub const FAR_FUTURE_US: u64 = 86_400_000_000;
-/// What a backend takes on at the most before any outcome tells.
+/// The maximum load of a backend before any outcome is known.
 pub const DEFAULT_MAX_LOAD: f64 = 8.0;
 
-/// A small histogram of few coarse bins.
+/// A small histogram with few coarse bins, in which older values lose weight.
 pub struct DecayingHistogram(Histogram<u32>);
 
 impl Default for DecayingHistogram {
@@ -34,7 +37,7 @@
 }
 
 impl DecayingHistogram {
-    /// Records one value; once `most` are kept, all count half, so that the newer ones lead.
+    /// Records one value; once `most` are held, all counts are halved, so that newer values dominate.
     pub fn record(&mut self, value: f64, most: u64) {
         self.0.saturating_record(value as u64);
         if self.0.len() >= most {
@@ -42,6 +45,7 @@
         }
     }
 
+    /// Halves all counts, rounding down.
     pub fn halve(&mut self) {
         if self.0.is_empty() {
             return;
@@ -58,6 +62,7 @@
         self.0.len()
     }
 
+    /// The value at a quantile, unless the histogram is empty.
     pub fn at(&self, quantile: f64) -> Option<f64> {
         (!self.0.is_empty()).then(|| self.0.value_at_quantile(quantile) as f64)
     }
@@ -67,7 +72,7 @@
     }
 }
 
-/// The mean of some values, or what counts where there are none.
+/// The mean of some values, or `none` if there are no values.
 pub fn mean_or(values: impl Iterator<Item = f64>, none: f64) -> f64 {
     let (sum, count) = values.fold((0.0, 0.0), |(sum, count), value| (sum + value, count + 1.0));
     if count > 0.0 {
@@ -77,56 +82,64 @@
     }
 }
 
+/// One execution of a query on a backend.
 pub struct Execution {
     pub backend: u32,
+    /// Its number among all executions of this proxy.
     pub serial: u64,
     pub sent_us: u64,
     pub expected_duration_us: u64,
+    /// Whether it is in flight.
     pub out: bool,
     pub cancel_sent: bool,
     pub may_have_run: bool,
-    /// Out for so long that it counts as failed already.
+    /// In flight for so long that it has already been counted as failed.
     pub late: bool,
 }
 
 impl Execution {
-    pub fn new(backend: u32, serial: u64, sent_us: u64, expected_us: u64) -> Self {
-        let (called_off, may_have_run, late) = (false, false, false);
+    pub fn new(backend: u32, serial: u64, sent_us: u64, expected_duration_us: u64) -> Self {
+        let (cancel_sent, may_have_run, late) = (false, false, false);
         Execution {
             backend,
             serial,
             sent_us,
-            expected_duration_us: expected_us,
+            expected_duration_us,
             out: true,
-            cancel_sent: called_off,
+            cancel_sent,
             may_have_run,
             late,
         }
     }
 }
 
+/// A query and its executions.
 #[derive(Default)]
 pub struct Query {
     pub id: String,
     pub serial: u64,
     pub workload: usize,
+    /// Its type by expected load, from 0 (plain) to 3 (heavy).
     pub kind: usize,
-    /// What it adds to a backend's load: its type's value, or for a long tail what its hint says.
+    /// What it adds to a backend's load: the load value of its type, or its hint if that is above the
+    /// heaviest type's.
     pub load: f64,
-    /// What its hint says in load units.
+    /// Its cost hint in load units.
     pub work: f64,
-    /// The candidates probed for it, wave by wave, and how many waves there were.
+    /// The candidates probed for it, in order, and the number of waves so far.
     pub asked: Vec<u32>,
     pub probe_waves: u32,
     pub arrived_us: u64,
     pub slo_us: u64,
-    /// Until when it is worth an answer, and the longest that its client may wait: see `Query::time`.
+    /// Until when an answer is worth anything, and the latest time until which its client may wait: see
+    /// `Query::set_deadline`.
     pub deadline_us: u64,
     pub longest_us: u64,
     pub importance: f64,
     pub executions: Vec<Execution>,
+    /// No further decision is due, though executions may still be in flight.
     pub finished: bool,
-    /// Those in force when it came.
+    /// The limits in force when it arrived.
     pub limits: ExecutionLimits,
 }
 
@@ -135,12 +148,13 @@
         Query { id: id.to_owned(), serial, workload, arrived_us, limits, ..Query::default() }
     }
 
-    /// The execution that binds all further ones: the first that is out or may have run.
+    /// The execution that restricts all further ones: the first that is in flight or may have run.
     pub fn binding_execution(&self) -> Option<&Execution> {
         self.executions.iter().find(|exec| exec.out || exec.may_have_run)
     }
 
-    /// For how long a further execution may begin, as long as its repeats are known.
+    /// For how long a further execution may begin, because the backends still drop repeats of the first;
+    /// practically unlimited if there is none, or if the workload isn't deduplicated.
     pub fn dedup_left_us(&self, workloads: &[Workload], now_us: u64) -> u64 {
         let workload = &workloads[self.workload];
         let binding = self.binding_execution().filter(|_| workload.repeat == Repeat::Deduplicated);
@@ -148,49 +162,52 @@
         until_us.saturating_sub(now_us)
     }
 
+    /// Whether any of its executions is in flight.
     pub fn out(&self) -> bool {
         self.executions.iter().any(|exec| exec.out)
     }
 
-    /// Whether its number of executions and its time allow one more.
+    /// Whether its number of executions and its deadline allow one more.
     pub fn may_retry(&self, now_us: u64) -> bool {
         self.executions.len() < self.limits.max_executions as usize && now_us < self.deadline_us
     }
 
-    /// Whether all waves of candidates were probed for it and none is waited for.
+    /// Whether all waves of candidates were probed for it and no probe is pending.
     pub fn probing_done(&self, fleet: &BTreeMap<u32, Backend>) -> bool {
         self.probe_waves >= MAX_PROBE_WAVES && self.asked.iter().all(|at| fleet[at].probe_in_flight.is_none())
     }
 
-    /// Its place among the waiting: the more important before, then the older.
+    /// Its key in the queue: the more important first, then the older.
     pub fn queue_key(&self) -> QueueKey {
         (Reverse((self.importance * 1e3) as u64), self.serial, self.id.clone())
     }
 }
 
+/// Importance in thousandths, serial number and id of a waiting query.
 pub type QueueKey = (Reverse<u64>, u64, String);
 
-/// An execution still out, with our work on the backend once it was added.
+/// An execution in flight on a backend.
 pub struct Held {
     pub sent_us: u64,
     pub load: f64,
     pub work: f64,
+    /// The known work on the backend just after this execution was added.
     pub work_at_send: f64,
-    /// Whether the sharers are told of it.
+    /// Whether the peers that share the backend are notified of it.
     pub told: bool,
-    /// Held to hang on a dead connection: no load of the backend's.
+    /// Presumed to hang on a dead connection, and so not counted as load of the backend.
     pub lost: bool,
-    /// Its body is still on the way: the backend has not begun.
+    /// Its body is still being sent: the backend has not begun to execute it.
     pub body_incomplete: bool,
 }
 
 impl Held {
-    pub fn new(qry: &Query, sent_us: u64, ahead: f64, told: bool) -> Self {
+    pub fn new(qry: &Query, sent_us: u64, work_at_send: f64, told: bool) -> Self {
         Held {
             sent_us,
             load: qry.load,
             work: qry.work,
-            work_at_send: ahead,
+            work_at_send,
             told,
             lost: false,
             body_incomplete: false,
@@ -198,10 +215,10 @@
     }
 }
 
-/// What a peer has last told of all its executions on a backend, counted until it is held to be done.
+/// A peer's latest report of all its executions on a backend; it counts until it expires.
 pub struct Told {
     pub peer: u32,
-    /// Which of its notes on this backend it was, round and round the signs.
+    /// The sequence number of the note, modulo `NOTE_BASE`.
     pub turn: u8,
     pub count: usize,
     pub work: f64,
@@ -209,17 +226,19 @@
 }
 
 impl Told {
-    /// Notes overtake one another on their way: only one of the next half round is newer.
+    /// Compares sequence numbers, since notes may arrive out of order: a note is newer if its number lies
+    /// within the half of the cycle after the last one's.
     pub fn is_newer_than(&self, last: &Told) -> bool {
         (1..NOTE_BASE / 2).contains(&((NOTE_BASE + self.turn - last.turn) % NOTE_BASE))
     }
 }
 
-/// How many values a sign takes: the visible characters.
+/// The number of values of one digit of a note: the visible ASCII characters.
 pub(crate) const NOTE_BASE: u8 = 94;
 
-/// A note between proxies: the end of a backend's id, then four signs: the note's turn, how many of its
-/// sender's executions are out there, and two for their work in quarters of a load unit.
+/// Parses a note between proxies: the low 16 bits of the backend's id in hexadecimal, then four base-94
+/// digits: the sequence number, the number of the sender's executions in flight there, and two for their work
+/// in quarters of a load unit.
 pub fn parse_note(note: &str) -> Option<(u32, Told)> {
     let signs = note.len().checked_sub(4)?;
     let short = u32::from_str_radix(note.get(..signs)?, 16).ok()?;
@@ -229,55 +248,63 @@
     Some((short, Told { peer: 0, turn, count, work, until_us: 0 }))
 }
 
+/// A backend: its entry in the list, this proxy's executions there, and what has been learned about it.
 #[derive(Default)]
 pub struct Backend {
-    /// When the first of the last executions dropped together was, and how many were.
+    /// When the first of the most recent drops within `DEATH_WINDOW_US` occurred, and how many there were.
     recent_drops: (u64, u32),
     pub listed: Listed,
-    /// Taken out by hand, whatever the list says.
+    /// Drained by hand, whatever the list says.
     pub out: bool,
     /// Whether it was listed as draining since its start.
     pub drained: bool,
-    /// Steps of the way to full use that are left to one which the list has dropped without draining.
+    /// The remaining use, in steps, of a backend that was removed from the list without draining.
     pub phase_out_steps: u8,
-    /// When it last started, or came back from those out by hand with no start told since; 0 means long ago.
+    /// When it last started, or returned from a manual drain with no start reported since; 0 means long ago.
     pub since_us: u64,
-    /// When this proxy heard of that start.
+    /// When this proxy learned of that start.
     pub start_heard_us: u64,
+    /// This proxy's executions in flight, by serial number.
     pub held: BTreeMap<u64, Held>,
-    /// The other proxies that use it, and what they have told of.
+    /// The other proxies that use it, and their latest reports.
     pub sharing_peers: Vec<u32>,
     pub told: Vec<Told>,
+    /// The sequence number of the last note sent about it.
     pub turn: u8,
     pub utilisation: Option<f64>,
-    /// What counts as its utilisation: its own report, else the mean of the reports there are.
+    /// The utilisation in use: its own report, else the mean over the backends that report.
     pub effective_utilisation: f64,
+    /// The paces seen: work in flight when an execution was sent, by the time it took. In load units per
+    /// microsecond, scaled by 1e9.
     pub paces: DecayingHistogram,
-    /// The middle of the paces, kept since it is asked for far more often than it moves.
+    /// The median of the paces, cached because it is read far more often than it changes.
     pub median_pace: Option<f64>,
     pub sampled_us: u64,
-    /// The latest execution that has completed: what was sent before it and is still out was passed by.
+    /// The latest execution that has completed: those sent before it and still in flight have been overtaken.
     pub last_completed_serial: u64,
-    /// Work a microsecond as last set from the outcomes, and the maximum that follows from it.
+    /// The estimated work per microsecond, and the maximum load that follows from it.
     pub pace: f64,
     pub max: f64,
     /// The last outcomes, one bit each, newest lowest; a set bit is a failure.
     pub failures: u8,
+    /// Until when it is ejected, and the length of the ejection; it grows with repeated failures.
     pub ejected_until_us: u64,
     pub ejection_us: u64,
-    /// Since when it is left alone for being crowded, and how long.
+    /// The start and length of a pause after an answer that was delayed by the load of other proxies.
     pub cooldown: (u64, f64),
+    /// When work was sent there while it was cold, and how much.
     pub cold_sent: VecDeque<(u64, f64)>,
-    /// When the probe that is out left, and how many executions had left by then.
+    /// When the pending probe was sent, and the serial number that the next execution had then.
     pub probe_in_flight: Option<(u64, u64)>,
-    /// What the last probe found there beside ours, and when.
+    /// When the last probe returned, and the work of other proxies that it found.
     pub seen: (u64, f64),
-    /// What is left of it by now, as last set.
+    /// The estimated remainder of that work now.
     pub found: f64,
 }
 
 impl Backend {
-    /// One more execution dropped: whether so many were at once that all in work there broke, not one answer alone.
+    /// Counts a dropped execution. True once there are enough at the same time to conclude that the backend
+    /// died, rather than that a single answer broke off.
     pub fn record_drop(&mut self, now_us: u64) -> bool {
         if now_us > self.recent_drops.0 + DEATH_WINDOW_US {
             self.recent_drops = (now_us, 0);
@@ -286,62 +313,60 @@
         self.recent_drops.1 == DEATH_DROPS
     }
 
-    /// Breaks what it has in work: it will be back as one that has just started, but still as listed and as taken
-    /// out by hand.
+    /// The backend has died. It will return as one that has just started, but its draining, manual drain and
+    /// phase-out still apply.
     pub fn died(&mut self, now_us: u64) {
-        let (drained, out, steps) = (self.drained, self.out, self.phase_out_steps);
+        let (drained, out, phase_out_steps) = (self.drained, self.out, self.phase_out_steps);
         self.restart(now_us, now_us);
-        (self.drained, self.out, self.phase_out_steps) = (drained, out, steps);
+        (self.drained, self.out, self.phase_out_steps) = (drained, out, phase_out_steps);
     }
 
-    /// What started anew is judged and learned anew; what is still out there counts on.
-    fn restart(&mut self, since_us: u64, heard_us: u64) {
+    /// Resets what was learned about it, after a restart; executions still in flight there continue to count.
+    fn restart(&mut self, since_us: u64, start_heard_us: u64) {
         let (listed, held) = (self.listed, std::mem::take(&mut self.held));
-        let sharers = std::mem::take(&mut self.sharing_peers);
-        *self = Backend {
-            listed,
-            held,
-            since_us,
-            start_heard_us: heard_us,
-            sharing_peers: sharers,
-            ..Backend::default()
-        };
+        let sharing_peers = std::mem::take(&mut self.sharing_peers);
+        *self = Backend { listed, held, since_us, start_heard_us, sharing_peers, ..Backend::default() };
     }
 
-    /// The work sent there while cold, since then.
+    /// The work sent there since the given time while it was cold.
     pub fn cold_work_since(&self, since_us: u64) -> f64 {
         self.cold_sent.iter().filter(|sent| sent.0 >= since_us).map(|sent| sent.1).sum()
     }
 
+    /// Whether it may be sent queries, as far as the list and the operators say.
     pub fn ready(&self) -> bool {
         (self.listed.phase == Phase::Ready || self.phase_out_steps > 0) && !self.out
     }
 
-    /// Its weight in the list, where that says anything.
+    /// Its weight in the list, bounded away from 0.
     pub fn weight(&self) -> f64 {
         self.listed.weight.max(0.01)
     }
 
-    /// Our executions that the backend is held to have.
+    /// This proxy's executions that are presumed to be at the backend.
     pub fn there(&self) -> impl Iterator<Item = &Held> {
         self.held.values().filter(|held| !held.lost && !held.body_incomplete)
     }
 
+    /// Whether none of this proxy's executions is there.
     pub fn idle(&self) -> bool {
         self.there().next().is_none()
     }
 
+    /// Its load in load units, from this proxy, peers, other traffic found by probes and reported
+    /// utilisation.
     pub fn load(&self) -> f64 {
         let own: f64 = self.there().map(|held| held.load).sum();
         own + self.peer_work() + self.found + self.effective_utilisation * self.max
     }
 
+    /// The known work in flight there.
     pub fn work(&self) -> f64 {
         self.peer_work() + self.found + self.there().map(|held| held.work).sum::<f64>()
     }
 
-    /// Tells all who share it, where that is worth it, of what is out there: each note stands alone, as
-    /// others may be lost or late.
+    /// If `worth`, notifies all peers that share it of everything this proxy has in flight there. Each note
+    /// is complete by itself, since others may be lost or late.
     pub fn notify_peers(&mut self, worth: bool, out: &mut dyn Writer) {
         if !worth {
             return;
@@ -358,36 +383,40 @@
         self.sharing_peers.iter().for_each(|peer| out.send_note(*peer, &note));
     }
 
-    /// How many executions are out there, as far as is known.
+    /// The known number of executions in flight there.
     pub fn execution_count(&self) -> usize {
         self.there().count() + self.told.iter().map(|told| told.count).sum::<usize>()
     }
 
-    /// The work that peers have told of.
+    /// The work that peers have reported.
     pub fn peer_work(&self) -> f64 {
         self.told.iter().map(|told| told.work).sum()
     }
 
+    /// How much load it can take before its maximum; negative beyond it.
     pub fn spare_capacity(&self) -> f64 {
         self.max - self.load()
     }
 
+    /// Records the pace of one outcome; the last `most` or so count.
     pub fn record_pace(&mut self, pace: f64, most: u64, now_us: u64) {
         self.paces.record(pace * 1e9, most);
         self.refresh_median_pace(now_us);
     }
 
+    /// Recomputes the cached median of the paces.
     pub(crate) fn refresh_median_pace(&mut self, now_us: u64) {
         self.median_pace = self.paces.at(0.5).map(|pace| pace / 1e9);
         self.sampled_us = now_us;
     }
 
+    /// Takes the utilisation from a report, if it has one.
     pub fn record_report(&mut self, report: LoadReport) {
         self.utilisation = report.utilisation.or(self.utilisation);
     }
 }
 
-/// A mean that goes with the newer values.
+/// A moving mean that follows the newer values.
 #[derive(Default)]
 pub struct MovingAverage {
     pub mean: f64,
@@ -395,15 +424,15 @@
 }
 
 impl MovingAverage {
-    /// Adds one value; the last `most` or so count.
+    /// Adds one value; roughly the last `most` values count.
     pub fn add(&mut self, value: f64, most: u32) {
         self.count = (self.count + 1).min(most);
         self.mean += (value - self.mean) / f64::from(self.count);
     }
 }
 
-/// What part of a workload's last executions failed, and how long it rests after the latest where it holds up
-/// its backends.
+/// The failure rate of a workload's recent executions, and until when the workload pauses after a failure if
+/// it blocks its backends.
 #[derive(Default)]
 pub struct FailureRate {
     pub mean: f64,
@@ -412,7 +441,7 @@
 }
 
 impl FailureRate {
-    /// Counts one; where most failed a success counts for more, since few go out.
+    /// Counts one execution. While most fail, a success weighs more, since few executions are sent then.
     pub fn ended(&mut self, completed: bool, rests_until_us: u64) {
         let most = if completed && self.mean > 0.5 { 8 } else { 24 };
         self.count = (self.count + 1).min(24);
@@ -421,8 +450,8 @@
     }
 }
 
-/// Answers that clients read slowly, as far as it shows: when all buffers were last held by them, until when
-/// the next comes free at the latest, and when an answer last came back.
+/// The state of the response buffers, as inferred: when slow readers last held all of them, until when the
+/// next becomes free at the latest (0 if one is free), and when an answer last arrived.
 #[derive(Default)]
 pub struct UnreadResponses {
     pub last_full_us: u64,
@@ -430,49 +459,51 @@
     pub last_response_us: u64,
 }
 
-/// What a tenant may still ask for within its share.
+/// A token bucket for this proxy's share of a tenant's quota.
 pub struct QuotaBucket {
     pub rate_per_us: f64,
     pub left: f64,
     pub refilled_us: u64,
-    /// What the importance beyond it is scaled by.
+    /// The factor applied to the importance of queries beyond the quota.
     pub over_quota_importance: f64,
 }
 
 impl QuotaBucket {
-    pub fn new(per_s: f64, beyond: f64) -> Self {
+    pub fn new(per_s: f64, over_quota_importance: f64) -> Self {
         QuotaBucket {
             rate_per_us: per_s / 1e6,
             left: per_s.max(MIN_QUOTA_BURST),
             refilled_us: 0,
-            over_quota_importance: beyond,
+            over_quota_importance,
         }
     }
 }
 
-/// All that an instance remembers.
+/// The state of one instance of the decision module.
 #[derive(Default)]
 pub struct Balancer {
     pub(crate) rng: Rng,
+    /// Seeds the random choice of the subset.
     pub(crate) subset_seed: u64,
     pub(crate) proxy_count: usize,
     pub(crate) number: usize,
-    /// That stand for this proxy.
+    /// How many processes run as this proxy.
     pub(crate) processes: usize,
     pub(crate) deployment: Deployment,
-    /// The quickest probe, which found nothing to wait for.
+    /// The duration of the fastest probe, which is assumed to have found no queue.
     pub(crate) fastest_probe_us: u64,
-    /// The load, in maxima, that the last probes found, and when.
+    /// When the last probes for a query ended, and the load of the best backend that they found, as a
+    /// multiple of its maximum.
     pub(crate) probed_load: (u64, f64),
-    /// When all maxima are set next, and when old paces fade.
+    /// When all maxima are recomputed next, and when old paces are next decayed.
     pub(crate) next_maxima_us: u64,
     pub(crate) next_decay_us: u64,
-    /// The pace usual for a list weight of 1, and the highest weight.
+    /// The mean pace for a list weight of 1, and the highest weight in the list.
     pub(crate) pace_per_weight: f64,
     pub(crate) max_weight: f64,
-    /// The mean of the utilisations reported.
+    /// The mean of the reported utilisations.
     pub(crate) mean_utilisation: f64,
-    /// The mean importance of a query, by its work.
+    /// The moving mean of a query's importance times its work.
     pub(crate) mean_importance: f64,
     pub(crate) workloads: Vec<Workload>,
     pub(crate) limits: ExecutionLimits,
@@ -480,17 +511,18 @@
     pub(crate) tenants: Vec<QuotaBucket>,
     pub(crate) must_subscribe: bool,
     pub(crate) retry: Retry,
-    /// When the first list came.
+    /// When the first list arrived.
     pub(crate) first_list_us: u64,
+    /// The time for which a backend's maximum load is sized: an eighth of the shortest SLO time.
     pub(crate) target_us: f64,
     pub(crate) max_importance: f64,
     pub(crate) slowest_pace: f64,
     pub(crate) fleet: BTreeMap<u32, Backend>,
-    /// Who is out by hand, and since when: also those on no list.
+    /// The backends drained by hand, listed or not, and since when.
     pub(crate) out: BTreeMap<u32, u64>,
-    /// The backends that this proxy uses: all, or where proxies are many its part of the list.
+    /// The backends that this proxy uses: all of them, or with many proxies its arc of the list.
     pub(crate) subset: Vec<u32>,
-    /// Those outside its zone that a probing proxy may use.
+    /// The backends outside its zone that a probing proxy may use.
     pub(crate) remote_subset: Vec<u32>,
     pub(crate) groups: [Vec<Member>; 4],
     pub(crate) regroup_us: u64,
@@ -503,41 +535,44 @@
     pub(crate) waiting: BTreeSet<QueueKey>,
     pub(crate) last_serial: u64,
     pub(crate) retry_budget: f64,
-    /// Queries that any backend is held to bear, by the restarts seen.
+    /// The most queries in flight that any backend is assumed to survive, given the restarts seen.
     pub(crate) execution_limit: f64,
-    /// What this proxy had out as queries came, and what the backends' reports said they held.
+    /// The executions that this proxy had in flight as queries arrived, and those that backends reported.
     pub(crate) own_in_flight: MovingAverage,
     pub(crate) reported_in_flight: MovingAverage,
     pub(crate) unread: UnreadResponses,
-    /// What part of each workload's executions failed of late.
+    /// The recent failure rate of each workload.
     pub(crate) failure_rates: Vec<FailureRate>,
+    /// Whether a timer for the next sweep is set.
     pub(crate) sweep_scheduled: bool,
-    /// Whether the next wake is a late one, as nothing waited.
+    /// Whether that timer has the longer interval, because no query was waiting.
     pub(crate) idle_sweep: bool,
 }
 
 impl Balancer {
+    /// `number` is this proxy's index among `proxy_count`. The first round requests the list if
+    /// `must_subscribe`.
     pub fn new(
         seed: u64,
-        balancers: u32,
+        proxy_count: u32,
         number: u32,
         workloads: Vec<Workload>,
         tenants: Vec<Tenant>,
         limits: ExecutionLimits,
         cold: ColdRule,
-        must_ask: bool,
-        standing: Deployment,
+        must_subscribe: bool,
+        deployment: Deployment,
     ) -> Self {
         let mut balancer = Balancer {
             rng: Rng::with_seed(seed),
             subset_seed: seed,
-            proxy_count: balancers.max(1) as usize,
+            proxy_count: proxy_count.max(1) as usize,
             number: number as usize,
             processes: 1,
-            deployment: standing,
+            deployment,
             fastest_probe_us: u64::MAX,
-            must_subscribe: must_ask,
-            retry: Retry::new(balancers as usize).with_ask_limit(standing.ask_within_us),
+            must_subscribe,
+            retry: Retry::new(proxy_count as usize).with_ask_limit(deployment.ask_within_us),
             regroup_interval_us: 1_000_000,
             retry_budget: 10.0,
             execution_limit: f64::MAX,
@@ -547,8 +582,9 @@
         balancer
     }
 
-    /// Settings for all queries to come; returns the numbers of their workloads. One that is as it was keeps its
-    /// number, and none is given twice, since open queries and some about to come still go by the old ones.
+    /// Applies new settings to all queries to come; returns the workloads' indices. An unchanged workload
+    /// keeps its index and no index is reused, since open queries, and some that are about to arrive, still
+    /// refer to the old ones.
     pub fn reload(
         &mut self,
         workloads: Vec<Workload>,
@@ -576,12 +612,13 @@
         numbers
     }
 
-    /// Whether a backend may still be sent to, or is known to a query.
+    /// Whether a backend may still be sent queries, or is referred to by a query.
     pub fn knows_backend(&self, id: u32) -> bool {
         self.fleet.contains_key(&id)
     }
 
-    /// What this proxy's backends hold and can hold: nothing is decided by it here.
+    /// The load and capacity of the backends that this proxy uses, for planners outside; not used for
+    /// decisions here.
     pub fn capacities(&self) -> impl Iterator<Item = BackendCapacity> + '_ {
         let used =
             |id: &u32| self.subset.is_empty() || self.subset.contains(id) || self.remote_subset.contains(id);
@@ -596,14 +633,16 @@
         })
     }
 
+    /// The backends of this proxy's subset.
     pub(crate) fn subset_backends(&self) -> impl Iterator<Item = &Backend> {
         self.subset.iter().map(|id| &self.fleet[id])
     }
 
-    /// How many proxies use a backend, a number below 1 that comes with this one's turn at it, and when that began.
-    /// Turns are a window long and begin evenly apart; in any row of them the numbers are spread as evenly as can be,
-    /// as multiples of the golden part are, so that as many lie below a part as add up to it, though each proxy's part
-    /// may differ. Where candidates are probed each proxy may use any backend.
+    /// How many proxies use a backend, a low-discrepancy number below 1 for this proxy's current turn at it,
+    /// and when that turn began. Turns are one window long and the proxies' turns start at even offsets. The
+    /// numbers are multiples of the golden ratio, so over any run of turns they are evenly distributed: the
+    /// fraction of turns whose number lies below a proxy's share matches that share, even if shares differ
+    /// between proxies. Where candidates are probed, each proxy may use any backend.
     pub(crate) fn turn(&self, backend: &Backend, now_us: u64, window_us: u64) -> (usize, f64, u64) {
         const GOLDEN: u64 = 0x9e37_79b9_7f4a_7c15;
         let before = backend.sharing_peers.partition_point(|other| (*other as usize) < self.number);
@@ -616,7 +655,7 @@
         (users, turn.wrapping_mul(GOLDEN) as f64 / u64::MAX as f64, now_us - since_us % window_us)
     }
 
-    /// Takes in a query that has come.
+    /// Adds a query that has arrived.
     pub(crate) fn admit(&mut self, qry: Query) {
         self.last_serial = qry.serial;
         self.own_in_flight.add(self.out(), 64);
@@ -625,7 +664,7 @@
         self.queries.insert(qry.id.clone(), qry);
     }
 
-    /// Gives this proxy a few backends of its zone, and as many elsewhere, drawn by lot.
+    /// Assigns this proxy a few random backends of its zone, and as many of other zones.
     pub(crate) fn draw_subset(&mut self, mut ids: Vec<u32>, most: usize) {
         ids.sort_by_cached_key(|id| Rng::with_seed(self.subset_seed ^ u64::from(*id)).u64(..));
         let here = |id: &u32| self.deployment.zone.is_none_or(|zone| self.fleet[id].listed.zone == zone);
@@ -634,7 +673,7 @@
         (self.subset, self.remote_subset) = if near.is_empty() { (far, near) } else { (near, far) };
     }
 
-    /// Gives this proxy its arc of the list, and each backend in it those who share it.
+    /// Assigns this proxy its arc of the list, and determines for each backend in it which peers share it.
     pub(crate) fn assign_arc(&mut self, ids: &[u32], part: usize) {
         let (count, balancers) = (ids.len(), self.proxy_count);
         let holds = |of: usize, at: usize| (at + count - of * count / balancers % count) % count < part;
@@ -649,7 +688,8 @@
         }
     }
 
-    /// The backends in an order in which each zone's lie evenly apart, the same at every proxy.
+    /// Orders the backends so that those of each zone are evenly spaced; the order is the same at every
+    /// proxy.
     pub(crate) fn interleave_zones(&self, ids: &[u32]) -> Vec<u32> {
         let mut zones: BTreeMap<u32, Vec<u32>> = BTreeMap::new();
         ids.iter().for_each(|id| zones.entry(self.fleet[id].listed.zone).or_default().push(*id));
@@ -662,12 +702,13 @@
         order.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// How many executions are out to backends that this proxy uses.
+    /// How many executions this proxy has in flight at the backends of its subset.
     pub(crate) fn out(&self) -> f64 {
         self.subset_backends().map(|backend| backend.there().count() as f64).sum()
     }
 
-    /// A load unit is half the mean hint, so that the values' cuts lie where most hints do.
+    /// Records a cost hint. A load unit is half the mean hint, so that the cut-offs between types lie where
+    /// most hints do.
     pub(crate) fn record_hint(&mut self, hint_us: f64) {
         self.hints.record(hint_us, 512);
         if self.hints.len().is_power_of_two() {
@@ -675,8 +716,9 @@
         }
     }
 
-    /// Takes in entries of the list; tells whether a ready backend came, whether one left, and the most that was
-    /// held by one that ended without draining. Those that a whole list no longer names are gone.
+    /// Applies entries of the list. Returns whether a ready backend was added, whether one was removed, and
+    /// the most executions known at a backend that ended without draining. Backends missing from a complete
+    /// list are gone.
     pub(crate) fn listed(&mut self, whole: bool, items: &[Listed], now_us: u64) -> (bool, bool, Option<f64>) {
         self.retry.heard();
         self.first_list_us = if self.first_list_us == 0 { now_us } else { self.first_list_us };
@@ -688,7 +730,7 @@
             let backend = self.fleet.entry(item.backend).or_default();
             let was = backend.ready();
             let loose = self.deployment.removal_not_binding && item.phase == Phase::Gone;
-            // That it is gone, where this binds nobody, is no news of its start.
+            // Where removal is not binding, an entry that says only "gone" carries no new start time.
             let item = if loose { Listed { phase: Phase::Gone, ..backend.listed } } else { *item };
             let starts = backend.listed.since_us != item.since_us;
             let ended = item.phase == Phase::Gone && !loose || starts;
@@ -696,7 +738,8 @@
                 held = Some(held.map_or(0.0, |held: f64| held).max(backend.execution_count() as f64));
             }
             if starts {
-                // A stamp may be off, and a later start than it tells may have shown: the later of them counts.
+                // The start time may be off by the clock error, and a later start may have been observed: the
+                // later counts.
                 let drift_us = self.deployment.clocks.start_us.min(now_us.saturating_sub(item.since_us));
                 let stamp_us = item.since_us + if item.since_us > 0 { drift_us } else { 0 };
                 backend.restart(stamp_us.max(backend.since_us), now_us);
@@ -713,7 +756,8 @@
         (came, left, held)
     }
 
-    /// The latest execution of a query is the last, and counts as sent only once its body has come whole.
+    /// No further execution of the query is possible; the latest counts as sent only once its body is
+    /// complete.
     pub(crate) fn body_progress(&mut self, id: &str, whole: bool, now_us: u64) {
         let Some(qry) = self.queries.get_mut(id) else { return };
         let Some(exec) = qry.executions.last_mut().filter(|exec| exec.out) else { return };
@@ -727,7 +771,8 @@
         }
     }
 
-    /// Takes a backend out or back; one that comes back may have started anew with nobody told of it yet.
+    /// Drains a backend or returns it to service. A returning backend may have restarted without this having
+    /// been reported yet, so it counts as just started.
     pub(crate) fn set_manual_drain(&mut self, id: u32, out: bool, now_us: u64) {
         let out_us =
             if out { *self.out.entry(id).or_insert(now_us) } else { self.out.remove(&id).unwrap_or(0) };
@@ -741,6 +786,7 @@
         self.regroup_us = now_us;
     }
 
+    /// Stores a peer's note, unless a newer one has arrived.
     pub(crate) fn told(&mut self, peer: u32, note: &str, until_us: u64) {
         let Some((short, told)) = parse_note(note) else { return };
         let Some(id) = self.subset.iter().find(|id| *id & 0xffff == short) else { return };
@@ -751,7 +797,7 @@
         }
     }
 
-    /// Ends a query here; executions still out are called off and count until their outcome.
+    /// Finishes a query; executions still in flight are cancelled and count until their outcome.
     pub(crate) fn close(&mut self, id: &str, out: &mut dyn Writer) {
         let Some(qry) = self.queries.get_mut(id) else { return };
         self.waiting.remove(&qry.queue_key());
@@ -765,7 +811,8 @@
         }
     }
 
-    /// Leaves out of parts and groups whoever is not ready, and forgets those gone that no query knows.
+    /// Removes backends that are not ready from the subsets and groups, and forgets those that are gone and
+    /// that no query refers to.
     pub(crate) fn remove_gone(&mut self) {
         let fleet = &mut self.fleet;
         self.subset.retain(|id| fleet[id].ready());
@@ -779,14 +826,14 @@
     }
 }
 
-/// A backend in a group, with its turn in the rotation.
+/// A backend in a group, with its current weight in the smooth weighted round robin.
 pub struct Member {
     pub backend: u32,
     pub turn: f64,
 }
 
 impl Member {
-    /// With a first turn drawn by chance, below what its weight adds each time.
+    /// Starts at a random position in the rotation, below the weight that it gains each time.
     pub fn new(server: &Backend, chance: f64) -> Self {
         Member { backend: server.listed.backend, turn: chance * server.listed.weight }
     }
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,60 +1,65 @@
-//! When discovery is asked again after a call that failed, and how long a call may take: the one place for it.
+//! The retry policy for calls to discovery: when to call again after a failure, and how long a call may take.
 //!
-//! Two terms hold together. One proxy: what discovery has counts as told 6 s after it could be reached, whatever
-//! failed. All proxies: their calls must fall under what discovery can do while it gives calls up, or it is kept over
-//! its capacity by the very calls that it gives up, and nobody hears. So the first call and the first wait are spread
-//! by the number of proxies, and waits grow with each failure in a row, differently for the two kinds of failure:
+//! Two requirements apply together. For one proxy: 6 s after discovery became reachable, the proxy counts as
+//! notified of what discovery has, whatever failed before. For all proxies: while discovery abandons calls,
+//! the rate of calls must fall below its capacity; otherwise the calls that it abandons keep it overloaded
+//! and no proxy gets an answer. So the first call and the first wait are spread in proportion to the number
+//! of proxies, and waits grow with each consecutive failure, differently for the two kinds of failure:
 //!
-//! - *Silent*: no connection, no answer, a watch without a sign of life. Its own time limits slow such calls down
-//!   already: 2.2 s of silence, two calls that fail by their time (1.1 s) and three waits of a small fleet (0.4 s) come
-//!   to 5.6 s; in a fleet of 21 and more (1 s) the third call begins after 5.3 s. Later waits grow to 2.5 s, which with
-//!   the longest call (1.8 s) stays within 6 s of a return.
-//! - *Refused*: an answer that says no, or an end before anything was told. It costs discovery work and comes at once.
-//!   The wait doubles to 4 s, so that one call falls into the 6 s after a return: a fleet of N makes N / 3 calls a
-//!   second at most. Where that goes on for ten failures in a row (20 s), waits double on, to 32 s: a fleet makes
-//!   N / 24 calls a second then, or refusals that cost discovery as much as answers would never end.
+//! - *Silent*: no connection, no answer, or a watch without a keep-alive. The time limits already slow such
+//!   calls down: 2.2 s of silence, two calls that time out (1.1 s each) and three waits of a small fleet (0.4
+//!   s each) sum to 5.6 s; in a fleet of 21 or more (waits of 1 s) the third call begins after 5.3 s. Later
+//!   waits grow to 2.5 s, which together with the longest call (1.8 s) stays within 6 s of discovery's
+//!   return.
+//! - *Refused*: an answer that refuses, or a connection closed before any data. It costs discovery work and
+//!   fails immediately. The wait doubles up to 4 s, so that one call falls into the 6 s after discovery's
+//!   return: a fleet of N proxies makes at most N / 3 calls per second. After ten consecutive failures (20
+//!   s), waits continue to double, up to 32 s, which leaves N / 24 calls per second; otherwise refusals that
+//!   cost discovery as much as answers would never end.
 //!
-//! Where the settings say after what time one who hasn't asked counts as told, no wait passes an eighth of it: what is
-//! asked in vain counts as asked, so that the sum is bounded there by the number of proxies alone.
+//! Where the settings define after what time a proxy that hasn't called counts as notified, no wait exceeds
+//! an eighth of that time. Failed calls count as calls too, so there the total rate is bounded only by the
+//! number of proxies.
 
 use std::ops::Range;
 
-/// Lines come every 2 s at the least: a watch without one is dead, though its connection may not know.
+/// Discovery sends a line at least every 2 s: a watch without one is dead, even if its connection seems open.
 pub const WATCH_TIMEOUT_US: u64 = 2_200_000;
-/// Discovery works through its calls in turn and gives one up that has waited for a second.
+/// Discovery processes its calls in order and abandons one that has waited for a second.
 pub const RESPONSE_TIMEOUT_US: u64 = 1_100_000;
-/// For a connection to discovery to come up.
+/// The time limit for connecting to discovery.
 pub const CONNECT_TIMEOUT_US: u64 = 700_000;
 
-/// The first wait of a proxy that is alone, at the most.
+/// The longest first wait of a proxy that is alone.
 const MAX_FIRST_WAIT_US: u64 = 400_000;
-/// What the first calls of a fleet are spread over: this much for each other proxy, and in all.
+/// The interval over which a fleet's first calls are spread: the part for each other proxy, and the maximum.
 const START_SPREAD_PER_PROXY_US: u64 = 50_000;
 const MAX_START_SPREAD_US: u64 = 1_600_000;
-/// First waits after a silence, which has taken of the 6 s already; the wait doesn't grow for this many failures.
+/// The longest first wait after a silent failure, which has used up part of the 6 s already, and the number
+/// of failures up to which it doesn't grow.
 const MAX_FIRST_SILENT_WAIT_US: u64 = 1_000_000;
 const SILENT_FLAT_RETRIES: u32 = 3;
 const MAX_SILENT_WAIT_US: u64 = 2_500_000;
 const MAX_REFUSED_WAIT_US: u64 = 4_000_000;
-/// Refused so often in a row, discovery is overrun and not just back.
+/// After this many consecutive refusals discovery is overloaded, rather than just restarted.
 const OVERLOAD_REFUSALS: u32 = 10;
-/// How often the longest wait doubles then.
+/// How many more times the longest wait doubles then.
 const OVERLOAD_DOUBLINGS: u32 = 3;
 
-/// Of the time after which one who hasn't asked counts as told, a wait is one part at the most.
+/// The longest wait is the time after which a proxy that hasn't called counts as notified, divided by this.
 const MAX_WAIT_DIVISOR: u64 = 8;
 
 /// How a call to discovery failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// It said no, or ended before it told anything.
+    /// It was refused, or closed before any data arrived.
     Refused,
-    /// Nothing was heard in time.
+    /// Nothing arrived in time.
     Silent,
 }
 
-/// The calls of one proxy to discovery that failed since it last heard, of each kind by itself: a silence says nothing
-/// of how much discovery has to do.
+/// The failed calls of one proxy since it last heard from discovery. The two kinds are counted separately,
+/// since a silent failure says nothing about discovery's load.
 #[derive(Clone, Debug, Default)]
 pub struct Retry {
     proxies: u64,
@@ -64,29 +69,31 @@
 }
 
 impl Retry {
-    /// `proxies`: how many ask the same discovery.
+    /// `proxies`: the number of proxies that call the same discovery.
     pub fn new(proxies: usize) -> Self {
         Retry { proxies: proxies as u64, max_wait_us: u64::MAX, refusals: 0, silences: 0 }
     }
 
-    /// The same where one who hasn't asked for `ask_within_us` counts as told.
+    /// Limits the waits for a deployment in which a proxy that hasn't called for `ask_within_us` counts as
+    /// notified.
     pub fn with_ask_limit(self, ask_within_us: Option<u64>) -> Self {
         let most_us =
             ask_within_us.map_or(u64::MAX, |within_us| (within_us / MAX_WAIT_DIVISOR).max(MAX_WAIT_DIVISOR));
         Retry { max_wait_us: most_us, ..self }
     }
 
-    /// Discovery has told something.
+    /// Discovery has sent data: resets the failure counts.
     pub fn heard(&mut self) {
         (self.refusals, self.silences) = (0, 0);
     }
 
-    /// The time over which all proxies of a fleet that start together make their first calls, in microseconds.
+    /// The time over which proxies that start together spread their first calls, in microseconds.
     pub fn start_spread_us(&self) -> u64 {
         (self.proxies.saturating_sub(1) * START_SPREAD_PER_PROXY_US).min(MAX_START_SPREAD_US)
     }
 
-    /// A call has failed: the bounds of the wait before the next, in microseconds, to be drawn from evenly.
+    /// Counts a failed call. Returns the bounds, in microseconds, between which the next wait is drawn
+    /// uniformly.
     pub fn failed(&mut self, failure: Failure) -> Range<u64> {
         let (first_us, most_us) = match failure {
             Failure::Refused => (self.first_wait_us(), self.refused_wait_us()),
@@ -98,7 +105,7 @@
             Failure::Silent => &mut self.silences,
         };
         *count = count.saturating_add(1);
-        // First waits are spread as widely as can be; later ones need that less than they need to be long.
+        // First waits are spread as widely as possible; for later waits length matters more than spread.
         let least_us = if most_us == first_us { most_us / 8 } else { most_us / 2 };
         least_us..most_us
     }
@@ -123,6 +130,7 @@
     }
 }
 
+/// Doubles a time `times` times, at most 16.
 fn doubled(us: u64, times: u32) -> u64 {
     us << times.min(16)
 }
