--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,5 +1,6 @@
-//! Hosts instances of the decision module on the simulator's wire: lines in, calls on the module,
-//! lines out. It decides nothing; whatever is malformed ends it with one plain message.
+//! Hosts instances of the decision module for the simulator. Reads messages as JSON lines from standard
+//! input, calls the module, and writes its decisions as JSON lines to standard output. It decides nothing;
+//! malformed input ends it with a one-line wrong message.
 
 mod reply;
 
@@ -15,7 +16,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// Any line of the wire; which fields must be there depends on `m`.
+/// Any input message; which fields are required depends on `m`.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct Line {
@@ -48,11 +49,12 @@
     neighbour: Option<u32>,
     bytes: Option<String>,
     gen: Option<u64>,
-    /// The numbered list that an `Endpoints` line meant when it was read.
+    /// The numbered list to which an `Endpoints` message referred when it was read.
     #[serde(skip)]
     listed: Option<Rc<Vec<Listed>>>,
 }
 
+/// A backend's load report.
 #[derive(Deserialize)]
 struct Gauge {
     busy: Option<f64>,
@@ -60,17 +62,19 @@
     fail_rate: Option<f64>,
 }
 
-/// One instance and its lines of the batch at hand.
+/// One instance and its messages of the current batch.
 struct Hosted {
     balancer: Balancer,
-    waiting: Vec<Line>,
+    pending: Vec<Line>,
 }
 
+/// The value of a required field.
 fn need<T>(field: Option<T>, message: &str, name: &str) -> Result<T, String> {
     field.ok_or_else(|| format!("{message} without {name}"))
 }
 
-fn text_reference(line: &Line) -> Result<&str, String> {
+/// The query id in `Ref`.
+fn query_reference(line: &Line) -> Result<&str, String> {
     match &line.reference {
         Some(Value::String(text)) => Ok(text),
         Some(_) => Err(format!("{}: Ref is not text", line.message)),
@@ -78,11 +82,13 @@
     }
 }
 
+/// The list number in `Ref`.
 fn list_number(line: &Line) -> Result<u64, String> {
     let number = need(line.reference.as_ref(), &line.message, "Ref")?;
     number.as_u64().ok_or_else(|| format!("{}: Ref is not a list's number", line.message))
 }
 
+/// Translates a result code.
 fn ended(code: u32) -> Result<Ended, String> {
     Ok(match code {
         200 => Ended::Completed,
@@ -97,7 +103,7 @@
     })
 }
 
-fn report(gauge: &Option<Gauge>) -> Option<LoadReport> {
+fn load_report(gauge: &Option<Gauge>) -> Option<LoadReport> {
     gauge.as_ref().map(|gauge| LoadReport {
         utilisation: gauge.busy,
         held: gauge.rif,
@@ -105,14 +111,14 @@
     })
 }
 
-/// Turns one line into its call on the module.
-fn feed(line: &Line, inbox: &mut Inbox) -> Result<(), String> {
+/// Passes one message to the module.
+fn dispatch(line: &Line, inbox: &mut Inbox) -> Result<(), String> {
     let message = line.message.as_str();
     match message {
         "Accept" => {
             let hinted = line.marks.unwrap_or(0) & 1 != 0;
             let again = line.marks.unwrap_or(0) & 2 != 0;
-            let id = text_reference(line)?;
+            let id = query_reference(line)?;
             let workload = need(line.workload, message, "Type")?;
             let ttl_us = need(line.ttl_us, message, "TtlUs")?;
             let hint_us = line.weight_hint_us.filter(|_| hinted);
@@ -123,12 +129,12 @@
         "Answer" => {
             need(line.backend, message, "Backend")?;
             inbox.outcome(
-                text_reference(line)?,
+                query_reference(line)?,
                 need(line.attempt, message, "Attempt")?,
                 ended(need(line.rc, message, "Rc")?)?,
                 need(line.duration_us, message, "DurationUs")?,
                 line.done_flag.unwrap_or(false),
-                report(&line.gauge),
+                load_report(&line.gauge),
             );
             Ok(())
         }
@@ -136,11 +142,11 @@
             need(line.backend, message, "Backend")?;
             need(line.duration_us, message, "DurationUs")?;
             need(line.attempt, message, "Attempt")?;
-            inbox.begun(text_reference(line)?);
+            inbox.begun(query_reference(line)?);
             Ok(())
         }
         "Withdrawn" => {
-            inbox.withdrawn(text_reference(line)?);
+            inbox.withdrawn(query_reference(line)?);
             Ok(())
         }
         "Reminder" => {
@@ -152,7 +158,7 @@
                 need(line.backend, message, "Backend")?,
                 ended(need(line.rc, message, "Rc")?)?,
                 need(line.duration_us, message, "DurationUs")?,
-                report(&line.gauge),
+                load_report(&line.gauge),
             );
             Ok(())
         }
@@ -174,6 +180,7 @@
     }
 }
 
+/// All instances, and the numbered lists of backends that messages refer to.
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u64, Hosted>,
@@ -181,8 +188,9 @@
 }
 
 impl Host {
-    /// Files one line under its instance; lists and the ends of instances take effect in reading order.
-    fn take(&mut self, mut line: Line) -> Result<(), String> {
+    /// Queues one message for its instance. Lists, launches and teardowns take effect immediately, in reading
+    /// order.
+    fn enqueue(&mut self, mut line: Line) -> Result<(), String> {
         if line.message == "Directory" {
             let items = need(line.items.take(), "Directory", "Items")?;
             let items: Result<Vec<Listed>, String> = items.iter().map(Entry::listed).collect();
@@ -197,8 +205,8 @@
                 let conf = need(line.conf, "Launch", "Conf")?;
                 let balancer =
                     crankpick_launch::balancer(salt, &conf).map_err(|wrong| format!("Launch: {wrong}"))?;
-                let waiting = Vec::new();
-                self.instances.insert(proxy, Hosted { balancer, waiting });
+                let pending = Vec::new();
+                self.instances.insert(proxy, Hosted { balancer, pending });
                 return Ok(());
             }
             "Endpoints" => {
@@ -220,26 +228,28 @@
         if line.message == "Teardown" {
             self.instances.remove(&proxy);
         } else {
-            hosted.waiting.push(line);
+            hosted.pending.push(line);
         }
         Ok(())
     }
 
-    fn answer(&mut self, now_us: u64, reply: &mut Vec<u8>) -> Result<(), String> {
+    /// Runs one round of each instance that has messages, and appends the decisions to `reply`.
+    fn run_rounds(&mut self, now_us: u64, reply: &mut Vec<u8>) -> Result<(), String> {
         for (proxy, hosted) in &mut self.instances {
-            if hosted.waiting.is_empty() {
+            if hosted.pending.is_empty() {
                 continue;
             }
             let mut writer = reply::Reply::new(*proxy, reply);
-            let lines = std::mem::take(&mut hosted.waiting);
-            hosted
-                .balancer
-                .round(now_us, &mut writer, |inbox| lines.iter().try_for_each(|line| feed(line, inbox)))?;
+            let lines = std::mem::take(&mut hosted.pending);
+            hosted.balancer.round(now_us, &mut writer, |inbox| {
+                lines.iter().try_for_each(|line| dispatch(line, inbox))
+            })?;
         }
         Ok(())
     }
 }
 
+/// Reads the next message, skipping empty lines; none at the end of the input.
 fn read_line(input: &mut impl BufRead, text: &mut String) -> Result<Option<Line>, String> {
     loop {
         text.clear();
@@ -257,6 +267,7 @@
     }
 }
 
+/// Answers batches until the input ends.
 fn serve() -> Result<(), String> {
     let mut input = std::io::stdin().lock();
     let mut output = std::io::stdout().lock();
@@ -274,11 +285,11 @@
             if line.message == "EofBatch" {
                 break;
             }
-            host.take(line)?;
+            host.enqueue(line)?;
         }
         reply.clear();
-        host.answer(now_us, &mut reply)?;
-        reply::finished(turn, &mut reply);
+        host.run_rounds(now_us, &mut reply)?;
+        reply::write_finished(turn, &mut reply);
         output.write_all(&reply).and_then(|()| output.flush()).map_err(|wrong| format!("output: {wrong}"))?;
     }
     Ok(())
--- a/crates/simhost/src/reply.rs
+++ b/crates/simhost/src/reply.rs
@@ -1,13 +1,15 @@
-//! Writes decisions as lines of the wire, straight into the reply.
+//! Writes decisions as JSON lines into the reply.
 
 use crankpick::interface::Writer;
 use serde::Serialize;
 
+/// Receives the decisions of one instance.
 pub struct Reply<'a> {
     proxy: u64,
     lines: &'a mut Vec<u8>,
 }
 
+/// Any output message.
 #[derive(Serialize, Default)]
 #[serde(rename_all = "PascalCase")]
 struct Out<'a> {
@@ -41,14 +43,16 @@
         Reply { proxy, lines }
     }
 
-    fn put(&mut self, out: Out) {
+    /// Appends one message.
+    fn write(&mut self, out: Out) {
         let out = Out { proxy: self.proxy, ..out };
         serde_json::to_writer(&mut *self.lines, &out).expect("plain text and numbers always serialise");
         self.lines.push(b'\n');
     }
 }
 
-pub fn finished(turn: u64, lines: &mut Vec<u8>) {
+/// Appends the message that ends the reply to a batch.
+pub fn write_finished(turn: u64, lines: &mut Vec<u8>) {
     let line = serde_json::json!({ "m": "Finished", "turn": turn });
     lines.extend_from_slice(line.to_string().as_bytes());
     lines.push(b'\n');
@@ -56,7 +60,7 @@
 
 impl Writer for Reply<'_> {
     fn execute(&mut self, qry: &str, backend: u32, timeout_us: u64, _: u64) {
-        self.put(Out {
+        self.write(Out {
             message: "HandOff",
             qry: Some(qry),
             backend: Some(backend),
@@ -66,11 +70,11 @@
     }
 
     fn cancel(&mut self, qry: &str, execution: u32) {
-        self.put(Out { message: "Revoke", qry: Some(qry), attempt: Some(execution), ..Out::default() });
+        self.write(Out { message: "Revoke", qry: Some(qry), attempt: Some(execution), ..Out::default() });
     }
 
     fn reject(&mut self, qry: &str, backoff_us: u64) {
-        self.put(Out {
+        self.write(Out {
             message: "OverloadReply",
             qry: Some(qry),
             backoff_us: Some(backoff_us),
@@ -79,22 +83,22 @@
     }
 
     fn abort(&mut self, qry: &str) {
-        self.put(Out { message: "RespondError", qry: Some(qry), ..Out::default() });
+        self.write(Out { message: "RespondError", qry: Some(qry), ..Out::default() });
     }
 
     fn wake(&mut self, in_us: u64, token: &str) {
-        self.put(Out { message: "WakeAt", in_us: Some(in_us), ctx: Some(token), ..Out::default() });
+        self.write(Out { message: "WakeAt", in_us: Some(in_us), ctx: Some(token), ..Out::default() });
     }
 
     fn subscribe(&mut self) {
-        self.put(Out { message: "Subscribe", want: Some(true), ..Out::default() });
+        self.write(Out { message: "Subscribe", want: Some(true), ..Out::default() });
     }
 
     fn probe(&mut self, backend: u32) {
-        self.put(Out { message: "SoundOut", backend: Some(backend), ..Out::default() });
+        self.write(Out { message: "SoundOut", backend: Some(backend), ..Out::default() });
     }
 
     fn send_note(&mut self, peer: u32, bytes: &str) {
-        self.put(Out { message: "Announce", recipient: Some(peer), bytes: Some(bytes), ..Out::default() });
+        self.write(Out { message: "Announce", recipient: Some(peer), bytes: Some(bytes), ..Out::default() });
     }
 }
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simhost/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter as the simulator meets it: lines in, lines out, one plain message on what is malformed.
+//! Runs the simulator adapter as a process: JSON lines in, JSON lines out, a one-line error for malformed input.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -9,20 +9,22 @@
 const ACCEPT: &str =
     r#"{"m":"Accept","Proxy":3,"Ref":"43cf59165d3a91c4","Type":0,"TtlUs":240000,"Marks":0,"Colour":"red"}"#;
 
-fn play(input: &str) -> (bool, String, String) {
+/// Runs the adapter on the input; returns whether it succeeded, its standard output and its standard error.
+fn run_adapter(input: &str) -> (bool, String, String) {
     let mut host = Command::new(env!("CARGO_BIN_EXE_crankpick-simhost"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // A host that ends early stops reading: what it says then is what counts.
+    // An adapter that ends early stops reading, so the write may fail; its messages are what is checked.
     let _ = host.stdin.take().expect("piped").write_all(input.as_bytes());
     let output = host.wait_with_output().expect("the adapter ends");
     let text = |bytes| String::from_utf8(bytes).expect("UTF-8");
     (output.status.success(), text(output.stdout), text(output.stderr))
 }
 
+/// One batch of messages.
 fn batch(turn: u64, lines: &[&str]) -> String {
     let now_us = 8_000_000 + turn * 5_000;
     let lines: String = lines.iter().map(|line| format!("{line}\n")).collect();
@@ -32,7 +34,7 @@
 #[test]
 fn answers_each_batch_and_ends_cleanly() {
     let input = batch(1, &[]) + &batch(2, &[LAUNCH, LIST, ACCEPT]);
-    let (success, out, err) = play(&input);
+    let (success, out, err) = run_adapter(&input);
     assert!(success && err.is_empty(), "{err}");
     let sent = r#"{"m":"HandOff","Proxy":3,"Ref":"43cf59165d3a91c4","Backend":7,"GiveUpAfterUs":240000}"#;
     let asked = r#"{"m":"Subscribe","Proxy":3,"Want":true}"#;
@@ -41,14 +43,15 @@
 }
 
 #[test]
-fn where_answers_tell_no_load_a_probe_goes_first() {
+fn probes_before_sending_where_answers_report_no_load() {
     let launch = LAUNCH.replace(
         r#""Limits":{"#,
         r#""Zone":0,"Zones":["a"],"Report":{"Via":"pull"},"ScoringMix":{"NinesPart":0.4,"FullAtNines":2},"Limits":{"Probes":true,"#,
     );
     let probed =
         r#"{"m":"ProbeDone","Proxy":3,"DurationUs":900,"Rc":200,"Backend":7,"Gauge":{"rif":0.1,"odd":3}}"#;
-    let (success, out, err) = play(&(batch(1, &[&launch, LIST, ACCEPT]) + &batch(2, &[probed, probed])));
+    let (success, out, err) =
+        run_adapter(&(batch(1, &[&launch, LIST, ACCEPT]) + &batch(2, &[probed, probed])));
     assert!(success, "{err}");
     let (first, second) = out.split_once("\"turn\":1").expect("two replies");
     assert!(
@@ -59,16 +62,16 @@
 }
 
 #[test]
-fn lists_are_resolved_and_instances_replaced_in_reading_order() {
+fn lists_and_instances_take_effect_in_reading_order() {
     let other = LIST.replace("\"Backend\":7", "\"Backend\":8").replace("warm_copy", "total");
     let again = [LAUNCH, LIST, r#"{"m":"Teardown","Proxy":3}"#, LAUNCH, LIST, other.as_str(), ACCEPT];
-    let (success, out, err) = play(&batch(1, &again));
+    let (success, out, err) = run_adapter(&batch(1, &again));
     assert!(success, "{err}");
     assert!(out.contains("\"Backend\":8") && !out.contains("\"Backend\":7"), "{out}");
 }
 
 #[test]
-fn what_is_malformed_ends_it_with_one_plain_line() {
+fn malformed_input_ends_the_adapter_with_a_one_line_error() {
     let launched = batch(1, &[LAUNCH, LIST]);
     let cases = [
         ("not JSON\n".to_owned(), "expected"),
@@ -86,7 +89,7 @@
         (batch(2, &[&LAUNCH.replace("1000000", "\"long\"")]), "SloTimeUs"),
     ];
     for (input, named) in cases {
-        let (success, _, err) = play(&(launched.clone() + &input));
+        let (success, _, err) = run_adapter(&(launched.clone() + &input));
         assert!(!success && err.lines().count() == 1 && err.contains(named), "{named}: {err}");
         assert!(!err.contains("panicked"), "{err}");
     }
