--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,6 +1,6 @@
 //! Hosts instances of the decision module for the simulator. Reads messages as JSON lines from standard
 //! input, calls the module, and writes its decisions as JSON lines to standard output. It decides nothing;
-//! malformed input ends it with a one-line wrong message.
+//! malformed input ends it with a one-line error message.
 
 mod reply;
 
@@ -77,7 +77,7 @@
 fn query_reference(line: &Line) -> Result<&str, String> {
     match &line.reference {
         Some(Value::String(text)) => Ok(text),
-        Some(_) => Err(format!("{}: Ref is not text", line.message)),
+        Some(_) => Err(format!("{}: Ref is not a string", line.message)),
         None => Err(format!("{} without Ref", line.message)),
     }
 }
@@ -85,7 +85,7 @@
 /// The list number in `Ref`.
 fn list_number(line: &Line) -> Result<u64, String> {
     let number = need(line.reference.as_ref(), &line.message, "Ref")?;
-    number.as_u64().ok_or_else(|| format!("{}: Ref is not a list's number", line.message))
+    number.as_u64().ok_or_else(|| format!("{}: Ref is not a list number", line.message))
 }
 
 /// Translates a result code.
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -181,12 +181,13 @@
         } else {
             // With many proxies, each uses its own contiguous part of the list, an arc.
             let many = MIN_ARC * self.proxy_count > MAX_PROXIES_PER_BACKEND * ids.len();
-            let few = if self.deployment.peers { many } else { self.deployment.connection > 0.0 };
-            let least = if few { MIN_ARC_COSTLY } else { MIN_ARC };
-            let part = (PROXIES_PER_BACKEND * ids.len()).div_ceil(self.proxy_count).max(least).min(ids.len());
+            let use_small_arc = if self.deployment.peers { many } else { self.deployment.connection > 0.0 };
+            let min_arc = if use_small_arc { MIN_ARC_COSTLY } else { MIN_ARC };
+            let arc =
+                (PROXIES_PER_BACKEND * ids.len()).div_ceil(self.proxy_count).max(min_arc).min(ids.len());
             // So that a partitioned zone leaves each proxy some backends, even of a small arc.
             let ids = if self.deployment.peers { self.interleave_zones(&ids) } else { ids };
-            self.assign_arc(&ids, part);
+            self.assign_arc(&ids, arc);
         }
         self.set_maxima(now_us);
         self.max_weight = self.fleet.values().map(|backend| backend.listed.weight).fold(0.0, f64::max);
@@ -194,14 +195,14 @@
         let mut servers: Vec<&Backend> = self.subset_backends().collect();
         servers.sort_by(|a, b| b.max.total_cmp(&a.max));
         let whole: f64 = servers.iter().map(|server| server.max).sum();
-        let units: f64 = self.traffic.iter().sum();
-        let mut wanted = self.traffic.map(|traffic| whole * traffic / units.max(1e-9));
+        let total_traffic: f64 = self.traffic.iter().sum();
+        let mut wanted = self.traffic.map(|traffic| whole * traffic / total_traffic.max(1e-9));
         let mut groups: [Vec<Member>; 4] = Default::default();
-        for (index, server) in servers.iter().enumerate().filter(|_| units > 0.0) {
-            let bare = |kind: &usize| self.traffic[*kind] > 0.0 && groups[*kind].is_empty();
-            let spare = servers.len() - index > (0..4).filter(bare).count();
-            let among = (0..4).filter(|kind| spare || bare(kind));
-            let kind = among.max_by(|a, b| wanted[*a].total_cmp(&wanted[*b])).unwrap_or(0);
+        for (index, server) in servers.iter().enumerate().filter(|_| total_traffic > 0.0) {
+            let lacks_backends = |kind: &usize| self.traffic[*kind] > 0.0 && groups[*kind].is_empty();
+            let spare = servers.len() - index > (0..4).filter(lacks_backends).count();
+            let candidates = (0..4).filter(|kind| spare || lacks_backends(kind));
+            let kind = candidates.max_by(|a, b| wanted[*a].total_cmp(&wanted[*b])).unwrap_or(0);
             wanted[kind] -= server.max;
             groups[kind].push(Member::new(server, rng.f64()));
         }
@@ -233,23 +234,26 @@
     fn within_cold_budget(&self, backend: &Backend, work: f64, now_us: u64) -> bool {
         let window_us = self.cold.window_us.max(1);
         let warmth = |at: &Backend| at.warmup_factor(&self.cold, now_us.saturating_sub(window_us / 2));
-        let bears = self.cold.capacity_multiple * warmth(backend) * self.slowest_pace * window_us as f64;
+        let budget = self.cold.capacity_multiple * warmth(backend) * self.slowest_pace * window_us as f64;
         let sent = backend.cold_work_since(now_us.saturating_sub(window_us));
-        let (users, luck, begun_us) = self.turn(backend, now_us, window_us);
-        let part = bears / (users * self.processes) as f64;
+        let (sharers, turn_number, turn_start_us) = self.turn(backend, now_us, window_us);
+        let share = budget / (sharers * self.processes) as f64;
         // A share below one query is granted in turns that add up to the share. A turn may only be used in
         // its first half and only if it began after the start was known; otherwise turns of several proxies
         // would be used at once.
-        let dealt =
-            luck * work < part && begun_us >= backend.start_heard_us && now_us < begun_us + window_us / 2;
+        let turn_granted = turn_number * work < share
+            && turn_start_us >= backend.start_heard_us
+            && now_us < turn_start_us + window_us / 2;
         // A proxy that has just started knows no pace, and may replace a process that has sent work there
         // already. Only the proxies that have the backend in their subset have a share.
-        let young = |of: bool| of && self.subset_backends().any(|at| warmth(at) >= 1.0);
-        let follows = backend.since_us < self.first_list_us && now_us < self.first_list_us + window_us;
-        let within = || sent + work <= part && !young(follows) || sent <= 0.0 && dealt;
-        let ours = || self.deployment.probes || self.subset.contains(&backend.listed.backend);
-        let knows = || !young(self.subset_backends().all(|at| at.median_pace.is_none()));
-        warmth(backend) >= 1.0 || within() && ours() && knows()
+        let newly_started = |of: bool| of && self.subset_backends().any(|at| warmth(at) >= 1.0);
+        let may_follow_predecessor =
+            backend.since_us < self.first_list_us && now_us < self.first_list_us + window_us;
+        let within_share =
+            || sent + work <= share && !newly_started(may_follow_predecessor) || sent <= 0.0 && turn_granted;
+        let in_subset = || self.deployment.probes || self.subset.contains(&backend.listed.backend);
+        let pace_known = || !newly_started(self.subset_backends().all(|at| at.median_pace.is_none()));
+        warmth(backend) >= 1.0 || within_share() && in_subset() && pace_known()
     }
 
     /// Whether this proxy has as much in flight as its share at overloaded backends. Always false where load
@@ -274,8 +278,8 @@
         let least = others.filter(|(_, of)| of.count >= 8).map(|(_, of)| of.mean).fold(1.0, f64::min);
         let own =
             if self.failure_rates[workload].count >= 8 { self.failure_rates[workload].mean } else { 0.0 };
-        let holds_up = own > BLOCKING_FAILURE.0 && (1.0 - own) * BLOCKING_FAILURE.1 < 1.0 - least;
-        (own > (least * 2.0).max(SUSPECT_FAILURE_RATE), holds_up)
+        let blocks = own > BLOCKING_FAILURE.0 && (1.0 - own) * BLOCKING_FAILURE.1 < 1.0 - least;
+        (own > (least * 2.0).max(SUSPECT_FAILURE_RATE), blocks)
     }
 
     /// Whether the rules, health and execution limit permit this query on this backend at all.
@@ -290,13 +294,15 @@
     /// The cost of placing a query on this backend, in units of its work: for crossing zones, by the query's
     /// importance relative to the others', and for answers lost recently.
     fn placement_cost(&self, qry: &Query, backend: &Backend) -> f64 {
-        let far = self.deployment.zone.is_some_and(|zone| zone != backend.listed.zone);
-        let worth = qry.importance * qry.work / self.mean_importance.max(1e-9);
-        let crossing = f64::from(u8::from(far)) * self.deployment.cross_zone_cost / worth.max(1e-3);
+        let other_zone = self.deployment.zone.is_some_and(|zone| zone != backend.listed.zone);
+        let relative_importance = qry.importance * qry.work / self.mean_importance.max(1e-9);
+        let crossing =
+            f64::from(u8::from(other_zone)) * self.deployment.cross_zone_cost / relative_importance.max(1e-3);
         // A query that must not be executed twice is lost with its answer, so recently lost answers count as
         // a cost.
-        let once = self.workloads[qry.workload].repeat == Repeat::NonIdempotent;
-        let lost = f64::from(u8::from(once) * backend.failures.count_ones() as u8) * LOST_ANSWER_COST;
+        let single_execution = self.workloads[qry.workload].repeat == Repeat::NonIdempotent;
+        let lost =
+            f64::from(u8::from(single_execution) * backend.failures.count_ones() as u8) * LOST_ANSWER_COST;
         (crossing + lost) * qry.slo_us as f64 * backend.pace
     }
 
@@ -347,32 +353,32 @@
             };
             let (kind, bound) = (qry.kind, qry.binding_execution().is_some());
             let group = || self.groups[kind].iter().map(|member| member.backend).collect();
-            let (waves, from): (u32, Vec<u32>) = match qry.probe_waves {
+            let (next_wave, from): (u32, Vec<u32>) = match qry.probe_waves {
                 _ if bound => (MAX_PROBE_WAVES, self.fleet.keys().copied().filter(fit).collect()),
                 0 if qry.load <= TYPE_LOADS[3] => (1, group()),
                 0 | 1 => (2, group()),
                 2 => (3, self.subset.clone()),
                 _ => (MAX_PROBE_WAVES, self.remote_subset.clone()),
             };
-            let mut of: Vec<u32> = Vec::new();
-            if waves == 1 {
+            let mut chosen: Vec<u32> = Vec::new();
+            if next_wave == 1 {
                 let may: Vec<u32> = from.into_iter().filter(fit).collect();
-                of.extend(self.rotate(kind, &may));
+                chosen.extend(self.rotate(kind, &may));
             } else {
                 let mut rng = self.rng.clone();
                 for _ in 0..if from.is_empty() { 0 } else { PROBES_PER_WAVE * 4 } {
                     let at = from[rng.usize(..from.len())];
                     let drawn = rng.f64() * self.max_weight <= self.fleet[&at].listed.weight;
-                    if drawn && of.len() < PROBES_PER_WAVE && !of.contains(&at) && fit(&at) {
-                        of.push(at);
+                    if drawn && chosen.len() < PROBES_PER_WAVE && !chosen.contains(&at) && fit(&at) {
+                        chosen.push(at);
                     }
                 }
                 self.rng = rng;
             }
-            of.iter().for_each(|at| self.probe(*at, now_us, out));
-            let qry = self.queries.get_mut(id).expect("waiting queries are live");
-            qry.probe_waves = waves;
-            qry.asked.extend(of);
+            chosen.iter().for_each(|at| self.probe(*at, now_us, out));
+            let qry = self.queries.get_mut(id).expect("waiting queries are open");
+            qry.probe_waves = next_wave;
+            qry.asked.extend(chosen);
         }
     }
 
@@ -397,10 +403,10 @@
         let mut rng = self.rng.fork();
         let qry = &self.queries[id];
         // The less important the query, the lower the probed load up to which it is placed.
-        let least =
+        let acceptable =
             |at: &Backend| at.load() <= (at.max * OVERLOAD_FACTOR * qry.importance).max(ALWAYS_ACCEPTED_LOAD);
         let known = |at: &Backend| {
-            qry.asked.contains(&at.listed.backend) && at.probe_in_flight.is_none() && least(at)
+            qry.asked.contains(&at.listed.backend) && at.probe_in_flight.is_none() && acceptable(at)
         };
         let usable = |at: &Backend| (!asks || known(at)) && self.usable(qry, at, now_us);
         let (kind, tail) = (qry.kind, qry.load > TYPE_LOADS[3]);
@@ -419,14 +425,15 @@
         }
         // A long-tail query exceeds every maximum: it fits where it would end within its SLO time.
         let left_us = qry.slo_remaining_us(now_us) as f64;
-        let (load, work, reach) = (qry.load, qry.work, 1.0 + qry.importance);
+        let (load, work, overload_allowance) = (qry.load, qry.work, 1.0 + qry.importance);
         let fits = |at: &Backend| match tail {
             true => at.load() < at.max && at.work() + work <= at.pace * left_us,
             false => at.idle() && at.found <= 0.0 && work <= at.pace * left_us || at.load() + load <= at.max,
         };
         // More important queries may exceed the maximum further; the others wait here, where they can still
         // be rejected.
-        let bears = |backend: &Backend| !second && backend.load() < backend.max * reach;
+        let within_allowance =
+            |backend: &Backend| !second && backend.load() < backend.max * overload_allowance;
         let mut roomiest = |among: &[u32], takes: &dyn Fn(&Backend) -> bool| {
             let (mut best, mut most, mut ties) = (None, f64::NEG_INFINITY, 0);
             for (id, backend) in among.iter().map(|id| (id, &self.fleet[id])).filter(|of| takes(of.1)) {
@@ -448,13 +455,13 @@
         };
         all.retain(|id| usable(&self.fleet[id]));
         let first = roomiest(&own, &fits).or_else(|| roomiest(&all, &fits));
-        first.or_else(|| roomiest(&own, &bears)).or_else(|| roomiest(&all, &bears))
+        first.or_else(|| roomiest(&own, &within_allowance)).or_else(|| roomiest(&all, &within_allowance))
     }
 
     /// Sends an execution of a query to a backend.
     fn execute(&mut self, qry: &str, id: u32, now_us: u64, out: &mut dyn Writer) {
         self.last_serial += 1;
-        let qry = self.queries.get_mut(qry).expect("placed queries are live");
+        let qry = self.queries.get_mut(qry).expect("placed queries are open");
         let backend = self.fleet.get_mut(&id).expect("only listed backends are used");
         if backend.warmup_factor(&self.cold, now_us) < 1.0 {
             backend.cold_sent.retain(|sent| sent.0 + self.cold.window_us >= now_us);
@@ -494,11 +501,13 @@
         let qry = &self.queries[id];
         let workload = &self.workloads[qry.workload];
         // After its SLO time a retry would earn nothing.
-        let past = workload.tardy_importance <= 0.0 && qry.slo_remaining_us(now_us) < self.target_us as u64;
-        let wait_us = if past { u64::MAX } else { wait_us };
+        let too_late =
+            workload.tardy_importance <= 0.0 && qry.slo_remaining_us(now_us) < self.target_us as u64;
+        let wait_us = if too_late { u64::MAX } else { wait_us };
         let all = workload.repeat == Repeat::Deduplicated && workload.group == DedupGroup::All;
-        let harmless = qry.binding_execution().is_none() || workload.repeat == Repeat::Idempotent || all;
-        match harmless {
+        let retry_harmless =
+            qry.binding_execution().is_none() || workload.repeat == Repeat::Idempotent || all;
+        match retry_harmless {
             true => out.reject(&qry.id, wait_us.max(self.target_us as u64).min(qry.limits.max_backoff_us)),
             false => out.abort(&qry.id),
         }
@@ -593,9 +602,9 @@
             if self.retry_budget < 1.0 {
                 break;
             } else if !two && lost {
-                let qry = self.queries.get_mut(&id).expect("late queries are live");
+                let qry = self.queries.get_mut(&id).expect("late queries are open");
                 out.cancel(&id, qry.executions.len() as u32 - 1);
-                qry.executions.last_mut().expect("one is late").cancel_sent = true;
+                qry.executions.last_mut().expect("a late query has an execution").cancel_sent = true;
             } else if !two && backend.last_completed_serial <= serial {
                 self.probe(at, now_us, out);
             } else if let Some(to) = copy.then(|| self.choose(&id, now_us, true, out)).flatten() {
@@ -619,9 +628,9 @@
         is_retry: bool,
     ) -> Result<(), String> {
         let b = &mut *self.balancer;
-        let about = b.workloads.get(workload).ok_or_else(|| format!("unknown workload {workload}"))?;
-        let (slo_us, tardy) = (about.slo_us, about.tardy_importance);
-        let mut importance = about.importance / b.max_importance;
+        let settings = b.workloads.get(workload).ok_or_else(|| format!("unknown workload {workload}"))?;
+        let (slo_us, tardy) = (settings.slo_us, settings.tardy_importance);
+        let mut importance = settings.importance / b.max_importance;
         if !b.tenants.get_mut(tenant).is_none_or(|share| share.try_take(self.now_us)) {
             importance *= b.tenants[tenant].over_quota_importance;
         }
@@ -634,8 +643,9 @@
         // Some queries can't end in time even on the fastest backend: they would only keep it from the
         // others.
         let fastest = b.speeds.at(0.9).filter(|_| b.speeds.len() >= MIN_SPEED_SAMPLES);
-        let takes_us = hint_us.zip(fastest).map_or(0.0, |(hint, fastest)| hint as f64 * 1e3 / fastest);
-        if takes_us > slo_us as f64 {
+        let fastest_duration_us =
+            hint_us.zip(fastest).map_or(0.0, |(hint, fastest)| hint as f64 * 1e3 / fastest);
+        if fastest_duration_us > slo_us as f64 {
             importance *= tardy;
         }
         // A late answer earns nothing, so its execution would only occupy a backend. Probing proxies move it
@@ -652,20 +662,25 @@
         b.admit(qry);
         // Rejects with a probability that rises from 0 at an expected wait of 0.02 of the SLO time to 1 at
         // 0.12; for the less important the expected wait is longer.
-        let chance = if b.deployment.probes {
+        let rejection_probability = if b.deployment.probes {
             let age_us = self.now_us.saturating_sub(b.probed_load.0) as f64;
             let strain = b.probed_load.1 * (1.0 - age_us / PROBED_LOAD_TTL_US).max(0.0);
             strain / (OVERLOAD_FACTOR * importance.max(1e-9)) - 0.9
         } else {
             (b.expected_wait_us(place.0) / slo_us.max(1) as f64 - 0.02) / 0.1
         };
-        let (suspect, holds_up) = b.suspect_workload(workload);
-        let rests = self.now_us < b.failure_rates[workload].paused_until_us;
-        let held_up =
-            holds_up && (rests || b.queries.values().any(|qry| qry.workload == workload && qry.out()));
+        let (suspect, blocks) = b.suspect_workload(workload);
+        let paused = self.now_us < b.failure_rates[workload].paused_until_us;
+        let blocked =
+            blocks && (paused || b.queries.values().any(|qry| qry.workload == workload && qry.out()));
         // Clients also retry queries that crash or hang every backend that takes them, so a suspect one isn't
         // executed again.
-        if takes_us > left_us as f64 || is_retry && suspect || held_up || unread || b.rng.f64() < chance {
+        if fastest_duration_us > left_us as f64
+            || is_retry && suspect
+            || blocked
+            || unread
+            || b.rng.f64() < rejection_probability
+        {
             b.give_up(id, self.now_us, self.out);
         } else {
             b.waiting.insert(place);
@@ -704,9 +719,9 @@
         // overload.
         let by_clock = qry.longest_us.saturating_sub(now_us) < error_us * 2 && backend.load() < backend.max;
         // A backend that drops all its executions has died: it returns cold, whatever the list says so far.
-        let breaks = ended == Ended::Dropped && !over && backend.listed.phase == Phase::Ready;
+        let dropped = ended == Ended::Dropped && !over && backend.listed.phase == Phase::Ready;
         let (died, held_there) = (
-            breaks && backend.record_drop(now_us),
+            dropped && backend.record_drop(now_us),
             (backend.execution_count() + DEATH_DROPS as usize) as f64,
         );
         if died && backend.since_us + b.cold.window_us < now_us {
@@ -724,8 +739,8 @@
         if counts && !exec.late && !unread {
             b.failure_rates[qry.workload].ended(completed, now_us + qry.slo_us * 4);
         }
-        let teaches = completed || ended == Ended::TimedOut && !b.deployment.probes;
-        if let Some(held) = held.filter(|_| teaches && !unread) {
+        let informative = completed || ended == Ended::TimedOut && !b.deployment.probes;
+        if let Some(held) = held.filter(|_| informative && !unread) {
             backend.record_pace(held.work_at_send / took_us.max(1) as f64, 16, now_us);
             // Time beyond the execution's own work was spent on other proxies' load: pause, so that all
             // proxies take turns.
@@ -748,8 +763,8 @@
         }
         let (judged, closed, out) = (exec.backend, over || qry.finished, qry.out());
         (qry.probe_waves, qry.asked) = (0, Vec::new());
-        let untold = matches!(ended, Ended::Cancelled | Ended::NotSent | Ended::Rejected | Ended::Stale);
-        if !(lost || cut || untold || unread && ended == Ended::TimedOut) {
+        let no_verdict = matches!(ended, Ended::Cancelled | Ended::NotSent | Ended::Rejected | Ended::Stale);
+        if !(lost || cut || no_verdict || unread && ended == Ended::TimedOut) {
             b.update_health(judged, completed, now_us);
         }
         if died {
@@ -760,17 +775,21 @@
         } else if !out {
             let qry = &b.queries[id];
             // An execution that reached no backend, or hardly did, loads none and costs no retry budget.
-            let untaken = b.deployment.probes && ended == Ended::Rejected;
-            let price = if untaken || matches!(ended, Ended::Unreachable | Ended::Stale) { 0.0 } else { 1.0 };
-            let once = qry.executions.len() < 2 && qry.importance >= 1.0;
+            let rejected_while_probing = b.deployment.probes && ended == Ended::Rejected;
+            let retry_cost = if rejected_while_probing || matches!(ended, Ended::Unreachable | Ended::Stale) {
+                0.0
+            } else {
+                1.0
+            };
+            let first_retry = qry.executions.len() < 2 && qry.importance >= 1.0;
             let more = qry.may_retry(now_us)
-                && (once || !b.suspect_workload(qry.workload).0)
-                && b.retry_budget >= price
+                && (first_retry || !b.suspect_workload(qry.workload).0)
+                && b.retry_budget >= retry_cost
                 && b.fleet
                     .values()
                     .any(|other| other.ready() && b.repeat_allowed(qry, &other.listed, now_us));
             if more {
-                b.retry_budget -= price;
+                b.retry_budget -= retry_cost;
                 b.waiting.insert(qry.queue_key());
             } else {
                 b.give_up(id, now_us, self.out);
@@ -794,8 +813,8 @@
         let waited_us = took_us.saturating_sub(b.fastest_probe_us);
         backend.record_probe(now_us, waited_us, report.unwrap_or_default(), TYPE_LOADS[1], silent);
         let errors = report.and_then(|report| report.errors_per_s);
-        let fails = errors.is_some_and(|errors| errors * TYPE_LOADS[1] > backend.pace * 1e6 / 16.0);
-        if fails || matches!(ended, Ended::TimedOut | Ended::Unreachable | Ended::Dropped) {
+        let error_rate_high = errors.is_some_and(|errors| errors * TYPE_LOADS[1] > backend.pace * 1e6 / 16.0);
+        if error_rate_high || matches!(ended, Ended::TimedOut | Ended::Unreachable | Ended::Dropped) {
             b.update_health(id, false, now_us);
         }
     }
--- a/src/kept.rs
+++ b/src/kept.rs
@@ -30,9 +30,7 @@
 
 impl Default for DecayingHistogram {
     fn default() -> Self {
-        DecayingHistogram(
-            Histogram::new_with_bounds(1, 1 << 30, 1).expect("the bounds are constant and sound"),
-        )
+        DecayingHistogram(Histogram::new_with_bounds(1, 1 << 30, 1).expect("the bounds are valid constants"))
     }
 }
 
@@ -678,7 +676,7 @@
         let (count, balancers) = (ids.len(), self.proxy_count);
         let holds = |of: usize, at: usize| (at + count - of * count / balancers % count) % count < part;
         for (place, id) in ids.iter().enumerate() {
-            let backend = self.fleet.get_mut(id).expect("ready ones are listed");
+            let backend = self.fleet.get_mut(id).expect("ready backends are listed");
             backend.sharing_peers.clear();
             if holds(self.number, place) {
                 self.subset.push(*id);
@@ -790,7 +788,7 @@
     pub(crate) fn told(&mut self, peer: u32, note: &str, until_us: u64) {
         let Some((short, told)) = parse_note(note) else { return };
         let Some(id) = self.subset.iter().find(|id| *id & 0xffff == short) else { return };
-        let last = &mut self.fleet.get_mut(id).expect("parts hold listed backends").told;
+        let last = &mut self.fleet.get_mut(id).expect("the subset contains only listed backends").told;
         if last.iter().all(|last| last.peer != peer || told.is_newer_than(last)) {
             last.retain(|last| last.peer != peer);
             last.push(Told { peer, until_us, ..told });
--- a/tests/unit/kept.rs
+++ b/tests/unit/kept.rs
@@ -1,8 +1,9 @@
 use super::*;
 
-struct Nowhere;
+/// Discards all decisions.
+struct NullWriter;
 
-impl Writer for Nowhere {
+impl Writer for NullWriter {
     fn execute(&mut self, _: &str, _: u32, _: u64, _: u64) {}
     fn cancel(&mut self, _: &str, _: u32) {}
     fn reject(&mut self, _: &str, _: u64) {}
@@ -13,8 +14,10 @@
     fn send_note(&mut self, _: u32, _: &str) {}
 }
 
+/// A gone backend with an execution in flight must stay until the outcome, which refers to it, and not
+/// longer, or the map of backends would grow with every replaced one.
 #[test]
-fn backends_that_are_gone_stay_as_long_as_a_query_knows_them() {
+fn gone_backends_are_kept_while_a_query_refers_to_them() {
     let workload = Workload {
         repeat: Repeat::Deduplicated,
         group: DedupGroup::Cell,
@@ -30,21 +33,23 @@
     let listed = |backend, phase| Listed { backend, phase, weight: 1.0, ..Listed::default() };
     for turn in 0..100 {
         let id = turn.to_string();
-        let fed: Result<(), String> = balancer.round(u64::from(turn) * 1_000, &mut Nowhere, |inbox| {
+        let fed: Result<(), String> = balancer.round(u64::from(turn) * 1_000, &mut NullWriter, |inbox| {
             inbox.list(false, &[listed(turn, Phase::Ready), listed(turn + 900, Phase::Gone)]);
             inbox.query(&id, 0, 0, 5_000_000, None, false)
         });
         assert_eq!(fed, Ok(()));
-        let fed: Result<(), String> = balancer.round(u64::from(turn) * 1_000 + 500, &mut Nowhere, |inbox| {
-            inbox.list(false, &[listed(turn, Phase::Gone)]);
-            Ok(())
-        });
-        assert_eq!((fed, balancer.fleet.len()), (Ok(()), 1), "its execution there is out");
-        let fed: Result<(), String> = balancer.round(u64::from(turn) * 1_000 + 700, &mut Nowhere, |inbox| {
-            inbox.outcome(&id, 0, Ended::Completed, 200, true, None);
-            inbox.list(false, &[]);
-            Ok(())
-        });
+        let fed: Result<(), String> =
+            balancer.round(u64::from(turn) * 1_000 + 500, &mut NullWriter, |inbox| {
+                inbox.list(false, &[listed(turn, Phase::Gone)]);
+                Ok(())
+            });
+        assert_eq!((fed, balancer.fleet.len()), (Ok(()), 1), "its execution there is in flight");
+        let fed: Result<(), String> =
+            balancer.round(u64::from(turn) * 1_000 + 700, &mut NullWriter, |inbox| {
+                inbox.outcome(&id, 0, Ended::Completed, 200, true, None);
+                inbox.list(false, &[]);
+                Ok(())
+            });
         assert_eq!((fed, balancer.fleet.len()), (Ok(()), 0));
     }
 }
