--- a/src/retry.rs
+++ b/src/retry.rs
@@ -77,9 +77,9 @@
     /// Limits the waits for a deployment in which a proxy that hasn't called for `ask_within_us` counts as
     /// notified.
     pub fn with_ask_limit(self, ask_within_us: Option<u64>) -> Self {
-        let most_us =
+        let max_wait_us =
             ask_within_us.map_or(u64::MAX, |within_us| (within_us / MAX_WAIT_DIVISOR).max(MAX_WAIT_DIVISOR));
-        Retry { max_wait_us: most_us, ..self }
+        Retry { max_wait_us, ..self }
     }
 
     /// Discovery has sent data: resets the failure counts.
