--- a/src/balance.rs
+++ b/src/balance.rs
@@ -1,6 +1,7 @@
-//! All decisions of the proxy. A host calls `round` of its `Balancer` once for each batch of news, fed
-//! through `Inbox`; then the round places what waits and decisions leave through the `Writer`. Memory is in
-//! kept.rs, the mechanism (types, groups, rotation, best fit) and each exception to it in docs/design.md.
+//! All decisions of the proxy. The host calls `Balancer::round` once for each batch of events, which it feeds
+//! through `Inbox`; the round then places the waiting queries, and decisions leave through the `Writer`.
+//! State is in kept.rs; docs/design.md describes the mechanism (types, groups, rotation, best fit) and each
+//! exception to it.
 
 pub use crate::inbox::Inbox;
 use crate::interface::*;
@@ -10,164 +11,198 @@
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-/// The paper's load values of the four types, from plain to heavy on all counts.
-const VALUES: [f64; 4] = [1.0, 2.0, 2.0, 3.0];
-/// Hints are cut half-way between the values, the two equal ones half-way between their cuts.
-const CUTS: [f64; 3] = [1.5, 2.0, 2.5];
-const REGROUP_US: u64 = 30_000_000;
-const MAXIMA_US: u64 = 250_000;
-const SWEEP_US: u64 = 25_000;
-/// Queries left with one backend by all, as told: more only wait where none can reject them.
-const CROWD_TOLD: f64 = 4.0;
-/// Queries left with one backend by all, as inferred where nobody tells.
-const CROWD: f64 = 3.0;
-/// What a restart leaves of the bound on both, how low that goes, and what comes back each quarter second.
-pub(crate) const AFTER_RESTART: f64 = 0.75;
-pub(crate) const CROWD_LEAST: f64 = 1.5;
-const CROWD_BACK: f64 = 1.005;
-/// Executions of a workload that fail, in part, past which its queries may themselves be the cause; and past
-/// which, where others succeed so many times as often, they hold up whoever takes them.
-const SUSPECT: f64 = 0.1;
-const HOLDS_UP: (f64, f64) = (0.5, 3.0);
-/// Proxies that share one backend, where a part may be that small: one query of each of many is a crowd.
-const SHARED_BY: usize = 3;
-/// Backends in an arc at the least, also where connections have a price or sharers are told, which costs the
-/// less the fewer there are: past so many to a backend.
-const PART_LEAST: usize = 6;
-const PART_FEW: usize = 3;
-const SHARERS_MANY: usize = 16;
-/// Those of its zone, and of others, that a probing proxy draws.
-const PART_PROBED: usize = 8;
-/// Candidates probed at a time.
-const WAVE: usize = 2;
-const PROBE_LOST_US: u64 = 2_000_000;
-/// Maxima of load found by a probe past which the most important is refused, and the load that any accepts.
-const BEARS: f64 = 3.0;
-const BEARS_LEAST: f64 = 4.0;
-/// What probes found may turn the next queries away for so long.
-const STRAIN_US: f64 = 2e6;
-/// Of the SLO time, what each lost answer among the last eight costs a query with one chance.
-const LOSS: f64 = 0.125;
-/// Outcomes that the usual pace for a backend's weight counts as, where few ever come.
-const SURE: f64 = 2.0;
-/// Outcomes from which the fastest pace is known: one that met a crowd would make all queries hopeless.
-const ENOUGH: u64 = 16;
+/// The load values of the four query types, from plain to heavy in every respect, as measured in the paper
+/// that docs/design.md names.
+const TYPE_LOADS: [f64; 4] = [1.0, 2.0, 2.0, 3.0];
+/// The cut-offs between types, in hinted load units: half-way between the load values; the cut-off between
+/// the two equal types is half-way between its neighbours.
+const TYPE_CUTOFFS: [f64; 3] = [1.5, 2.0, 2.5];
+/// The longest interval between rebuilds of the groups.
+const REGROUP_INTERVAL_US: u64 = 30_000_000;
+/// The interval at which all backends' maxima are recomputed, where candidates are probed.
+const MAXIMA_INTERVAL_US: u64 = 250_000;
+const SWEEP_INTERVAL_US: u64 = 25_000;
+/// The most executions by all proxies at one backend, as reported by peers: more would only queue where they
+/// can no longer be rejected.
+const EXECUTION_LIMIT_REPORTED: f64 = 4.0;
+/// The same limit where the total has to be inferred because peers don't report.
+const EXECUTION_LIMIT_INFERRED: f64 = 3.0;
+/// The factor by which an unexpected restart lowers the execution limit, the lowest limit, and the factor by
+/// which it recovers every quarter of a second.
+pub(crate) const RESTART_LIMIT_FACTOR: f64 = 0.75;
+pub(crate) const MIN_EXECUTION_LIMIT: f64 = 1.5;
+const LIMIT_RECOVERY_FACTOR: f64 = 1.005;
+/// The failure rate above which a workload's queries may themselves cause the failures; and the failure rate,
+/// with the ratio by which others succeed more often, above which they block the backends that execute them.
+const SUSPECT_FAILURE_RATE: f64 = 0.1;
+const BLOCKING_FAILURE: (f64, f64) = (0.5, 3.0);
+/// The target number of proxies that share one backend: with many, one query from each already overloads it.
+const PROXIES_PER_BACKEND: usize = 3;
+/// The minimum number of backends in an arc. The second applies where connections cost, or where peers are
+/// notified and more than `MAX_PROXIES_PER_BACKEND` proxies would share a backend, since notes cost less with
+/// fewer sharers.
+const MIN_ARC: usize = 6;
+const MIN_ARC_COSTLY: usize = 3;
+const MAX_PROXIES_PER_BACKEND: usize = 16;
+/// How many backends of its zone, and of other zones, a probing proxy draws.
+const PROBING_SUBSET: usize = 8;
+/// How many candidates are probed at a time.
+const PROBES_PER_WAVE: usize = 2;
+/// After this time a probe without an answer counts as lost, and another may be sent.
+const PROBE_LOST_AFTER_US: u64 = 2_000_000;
+/// The probed load, as a multiple of the maximum, above which even the most important query is rejected; and
+/// the load below which none is.
+const OVERLOAD_FACTOR: f64 = 3.0;
+const ALWAYS_ACCEPTED_LOAD: f64 = 4.0;
+/// For how long the load found by probes may cause the next queries to be rejected.
+const PROBED_LOAD_TTL_US: f64 = 2e6;
+/// The cost of each lost answer among the last eight, as a fraction of the SLO time, for a query that can be
+/// executed only once.
+const LOST_ANSWER_COST: f64 = 0.125;
+/// The weight, in outcomes, of the prior for a backend's pace, since some backends yield few outcomes.
+const PRIOR_OUTCOMES: f64 = 2.0;
+/// How many outcomes are needed before the fastest pace is used: a single one, delayed by other load, would
+/// make all queries appear impossible to complete in time.
+const MIN_SPEED_SAMPLES: u64 = 16;
 
 impl Backend {
+    /// Whether neither an ejection nor a cool-down keeps queries of this importance away.
     fn open(&self, now_us: u64, importance: f64) -> bool {
-        // The most important need not wait out a rest, so that it is the cheap ones that are turned away.
-        let rested_us = self.rest.0 + (self.rest.1 * (1.0 - importance)) as u64;
-        // One that was shut gets one query at a time until one is completed.
-        self.ready() && (self.shut_for_us == 0 || self.idle()) && now_us >= self.shut_until_us.max(rested_us)
+        // The most important queries skip the cool-down, so that the less important ones are rejected
+        // instead.
+        let rested_us = self.cooldown.0 + (self.cooldown.1 * (1.0 - importance)) as u64;
+        // A backend that was ejected gets one query at a time until one completes.
+        self.ready()
+            && (self.ejection_us == 0 || self.idle())
+            && now_us >= self.ejected_until_us.max(rested_us)
     }
 }
 
 impl Balancer {
-    /// Takes in all news of one batch through `feed`, then places what waits.
+    /// Processes all events of one batch through `feed`, then places the waiting queries.
     pub fn round<E>(
         &mut self,
         now_us: u64,
         out: &mut dyn Writer,
         feed: impl FnOnce(&mut Inbox) -> Result<(), E>,
     ) -> Result<(), E> {
-        if std::mem::take(&mut self.must_ask) {
+        if std::mem::take(&mut self.must_subscribe) {
             out.subscribe();
         }
         feed(&mut Inbox { balancer: self, out, now_us })?;
         if now_us >= self.regroup_us {
             self.regroup(now_us);
         }
-        // A peer's note alone calls for no decision.
-        if self.waiting.is_empty() && self.sweeping {
+        // A note from a peer alone requires no decision.
+        if self.waiting.is_empty() && self.sweep_scheduled {
             return Ok(());
         }
         self.set_maxima(now_us);
-        // Only after all news: what ends in this batch needs no second copy.
-        if !self.sweeping {
+        // Only after all events: an execution that ended in this batch needs no hedged request.
+        if !self.sweep_scheduled {
             self.sweep(now_us, out);
         }
         self.place_waiting(now_us, out);
-        // Those woken seldom are woken anew as something comes to wait.
-        if (!self.sweeping || self.calm && !self.waiting.is_empty()) && !self.queries.is_empty() {
-            self.sweeping = true;
-            self.calm = self.standing.probes && self.waiting.is_empty();
-            out.wake(if self.calm { SWEEP_US * 4 } else { SWEEP_US }, "sweep");
+        // If the timer has the longer interval and a query has begun to wait, a shorter one is set.
+        if (!self.sweep_scheduled || self.idle_sweep && !self.waiting.is_empty()) && !self.queries.is_empty()
+        {
+            self.sweep_scheduled = true;
+            self.idle_sweep = self.deployment.probes && self.waiting.is_empty();
+            out.wake(if self.idle_sweep { SWEEP_INTERVAL_US * 4 } else { SWEEP_INTERVAL_US }, "sweep");
         }
         Ok(())
     }
 
-    /// A maximum is the work done within the target time at the learned pace, else at the others' mean for
-    /// its weight. Where candidates are probed only theirs need be current, the others' four times a second.
+    /// Recomputes the maxima: the work that a backend does within the target time, at its learned pace or
+    /// else at the others' mean for its weight. Where candidates are probed, only their maxima have to be
+    /// current; the others are recomputed four times a second.
     fn set_maxima(&mut self, now_us: u64) {
-        let bound = |entry: &Place| self.queries[&entry.2].binding().is_some();
-        let ids: Vec<u32> = if self.standing.probes && now_us < self.maxima_us {
+        let bound = |entry: &QueueKey| self.queries[&entry.2].binding_execution().is_some();
+        let ids: Vec<u32> = if self.deployment.probes && now_us < self.next_maxima_us {
             self.waiting.iter().flat_map(|entry| self.queries[&entry.2].asked.iter().copied()).collect()
         } else {
-            self.maxima_us = now_us + MAXIMA_US;
-            let known = || self.ours().filter_map(|backend| backend.learned);
-            let mean = mean_or(known(), DEFAULT_MAX / self.target_us);
+            self.next_maxima_us = now_us + MAXIMA_INTERVAL_US;
+            let known = || self.subset_backends().filter_map(|backend| backend.median_pace);
+            let mean = mean_or(known(), DEFAULT_MAX_LOAD / self.target_us);
             self.slowest_pace = known().fold(mean, f64::min);
-            let by_weight = |backend: &Backend| backend.learned.map(|pace| pace / backend.weight());
-            self.weight_pace = mean_or(self.ours().filter_map(by_weight), DEFAULT_MAX / self.target_us);
-            self.used = mean_or(self.ours().filter_map(|backend| backend.utilisation), 0.0);
+            let by_weight = |backend: &Backend| backend.median_pace.map(|pace| pace / backend.weight());
+            self.pace_per_weight =
+                mean_or(self.subset_backends().filter_map(by_weight), DEFAULT_MAX_LOAD / self.target_us);
+            self.mean_utilisation =
+                mean_or(self.subset_backends().filter_map(|backend| backend.utilisation), 0.0);
             match self.waiting.iter().any(bound) {
                 true => self.fleet.keys().copied().collect(),
-                false => self.part.iter().chain(&self.beyond).copied().collect(),
+                false => self.subset.iter().chain(&self.remote_subset).copied().collect(),
             }
         };
         for id in ids {
             let Some(backend) = self.fleet.get_mut(&id) else { continue };
-            let usual_pace = self.weight_pace * backend.weight();
-            backend.recall(now_us, self.used, usual_pace, SURE, self.target_us, self.quickest_us);
-            // One that stands still yields no outcomes: the oldest not passed by bounds its pace.
-            let ends = !self.standing.probes && now_us >= self.unread.until_us;
-            for (_, held) in backend.held.range(backend.passed..).take(usize::from(ends)) {
+            let usual_pace = self.pace_per_weight * backend.weight();
+            backend.refresh_estimates(
+                now_us,
+                self.mean_utilisation,
+                usual_pace,
+                PRIOR_OUTCOMES,
+                self.target_us,
+                self.fastest_probe_us,
+            );
+            // A stalled backend yields no outcomes, so the oldest execution that wasn't overtaken bounds its
+            // pace.
+            let ends = !self.deployment.probes && now_us >= self.unread.until_us;
+            for (_, held) in backend.held.range(backend.last_completed_serial..).take(usize::from(ends)) {
                 let age_us = now_us.saturating_sub(held.sent_us).max(1);
-                backend.pace = backend.pace.min(held.ahead / age_us as f64);
+                backend.pace = backend.pace.min(held.work_at_send / age_us as f64);
             }
-            backend.max =
-                backend.pace * self.target_us * backend.warmth(&self.cold, now_us) * backend.trust();
+            backend.max = backend.pace
+                * self.target_us
+                * backend.warmup_factor(&self.cold, now_us)
+                * backend.phase_out_factor();
         }
     }
 
-    /// Sizes each type's group by its share of the load units, in learned maxima, strongest first.
+    /// Rebuilds the subset and the groups. Each type's group gets learned capacity in proportion to the
+    /// type's share of the load, the strongest backends first.
     fn regroup(&mut self, now_us: u64) {
-        // A proxy that has just started knows no traffic: its first groups hold all and are soon rebuilt.
-        self.regroup_us = now_us + self.regroup_gap_us;
-        self.regroup_gap_us = (self.regroup_gap_us * 2).min(REGROUP_US);
-        // Nobody vouches for what the list has dropped and this proxy doesn't use.
-        let unused = |id: &u32| !self.part.contains(id) && !self.beyond.contains(id);
+        // A proxy that has just started has seen no traffic: its first groups contain all backends and are
+        // rebuilt soon.
+        self.regroup_us = now_us + self.regroup_interval_us;
+        self.regroup_interval_us = (self.regroup_interval_us * 2).min(REGROUP_INTERVAL_US);
+        // There is no evidence that a backend still works if it was removed from the list and isn't used
+        // here.
+        let unused = |id: &u32| !self.subset.contains(id) && !self.remote_subset.contains(id);
         let others = self.fleet.iter_mut().filter(|(id, _)| unused(id));
-        others.for_each(|(_, backend)| backend.steps = backend.steps.saturating_sub(1));
+        others.for_each(|(_, backend)| backend.phase_out_steps = backend.phase_out_steps.saturating_sub(1));
         let ids: Vec<u32> = self.fleet.values().filter(|b| b.ready()).map(|b| b.listed.backend).collect();
-        (self.maxima_us, self.part, self.beyond) = (0, Vec::new(), Vec::new());
-        if self.standing.probes {
-            // Each connection costs, and a backend holds only so many: a few of the own zone, drawn by lot.
-            self.draw(ids, PART_PROBED);
+        (self.next_maxima_us, self.subset, self.remote_subset) = (0, Vec::new(), Vec::new());
+        if self.deployment.probes {
+            // Each connection costs, and a backend accepts a limited number: use a few random ones of the own
+            // zone.
+            self.draw_subset(ids, PROBING_SUBSET);
         } else {
-            // Where proxies are many, each uses its own part of the list, an arc.
-            let many = PART_LEAST * self.balancers > SHARERS_MANY * ids.len();
-            let few = if self.standing.peers { many } else { self.standing.connection > 0.0 };
-            let least = if few { PART_FEW } else { PART_LEAST };
-            let part = (SHARED_BY * ids.len()).div_ceil(self.balancers).max(least).min(ids.len());
-            // So that a zone that is cut off leaves each proxy some of a small arc.
-            let ids = if self.standing.peers { self.zones_in_turns(&ids) } else { ids };
-            self.deal(&ids, part);
+            // With many proxies, each uses its own contiguous part of the list, an arc.
+            let many = MIN_ARC * self.proxy_count > MAX_PROXIES_PER_BACKEND * ids.len();
+            let use_small_arc = if self.deployment.peers { many } else { self.deployment.connection > 0.0 };
+            let min_arc = if use_small_arc { MIN_ARC_COSTLY } else { MIN_ARC };
+            let arc =
+                (PROXIES_PER_BACKEND * ids.len()).div_ceil(self.proxy_count).max(min_arc).min(ids.len());
+            // So that a partitioned zone leaves each proxy some backends, even of a small arc.
+            let ids = if self.deployment.peers { self.interleave_zones(&ids) } else { ids };
+            self.assign_arc(&ids, arc);
         }
         self.set_maxima(now_us);
-        self.most_weight = self.fleet.values().map(|backend| backend.listed.weight).fold(0.0, f64::max);
+        self.max_weight = self.fleet.values().map(|backend| backend.listed.weight).fold(0.0, f64::max);
         let mut rng = self.rng.fork();
-        let mut servers: Vec<&Backend> = self.ours().collect();
+        let mut servers: Vec<&Backend> = self.subset_backends().collect();
         servers.sort_by(|a, b| b.max.total_cmp(&a.max));
         let whole: f64 = servers.iter().map(|server| server.max).sum();
-        let units: f64 = self.traffic.iter().sum();
-        let mut wanted = self.traffic.map(|traffic| whole * traffic / units.max(1e-9));
+        let total_traffic: f64 = self.traffic.iter().sum();
+        let mut wanted = self.traffic.map(|traffic| whole * traffic / total_traffic.max(1e-9));
         let mut groups: [Vec<Member>; 4] = Default::default();
-        for (index, server) in servers.iter().enumerate().filter(|_| units > 0.0) {
-            let bare = |kind: &usize| self.traffic[*kind] > 0.0 && groups[*kind].is_empty();
-            let spare = servers.len() - index > (0..4).filter(bare).count();
-            let among = (0..4).filter(|kind| spare || bare(kind));
-            let kind = among.max_by(|a, b| wanted[*a].total_cmp(&wanted[*b])).unwrap_or(0);
+        for (index, server) in servers.iter().enumerate().filter(|_| total_traffic > 0.0) {
+            let lacks_backends = |kind: &usize| self.traffic[*kind] > 0.0 && groups[*kind].is_empty();
+            let spare = servers.len() - index > (0..4).filter(lacks_backends).count();
+            let candidates = (0..4).filter(|kind| spare || lacks_backends(kind));
+            let kind = candidates.max_by(|a, b| wanted[*a].total_cmp(&wanted[*b])).unwrap_or(0);
             wanted[kind] -= server.max;
             groups[kind].push(Member::new(server, rng.f64()));
         }
@@ -178,9 +213,9 @@
         self.traffic = self.traffic.map(|traffic| traffic / 2.0);
     }
 
-    /// Whether rule 2 lets this query have a further execution on this backend now.
-    fn allowed(&self, qry: &Query, on: &Listed, now_us: u64) -> bool {
-        let Some(first) = qry.binding() else { return true };
+    /// Whether rule 2 (repeated executions) permits a further execution of this query on this backend now.
+    fn repeat_allowed(&self, qry: &Query, on: &Listed, now_us: u64) -> bool {
+        let Some(first) = qry.binding_execution() else { return true };
         let workload = &self.workloads[qry.workload];
         let first_on = &self.fleet[&first.backend].listed;
         let together = match workload.group {
@@ -189,76 +224,94 @@
             DedupGroup::Cell => on.cell == first_on.cell,
         };
         match workload.repeat {
-            Repeat::Deduplicated => together && qry.repeats_for_us(&self.workloads, now_us) > 0,
+            Repeat::Deduplicated => together && qry.dedup_left_us(&self.workloads, now_us) > 0,
             other => other == Repeat::Idempotent,
         }
     }
 
-    /// Rule 4: this proxy's share of what a cold backend bears in a window, by the slowest pace seen.
+    /// Rule 4 (cold backends): whether the work fits into this proxy's share of what a cold backend can take
+    /// in a window, at the slowest pace seen.
     fn within_cold_budget(&self, backend: &Backend, work: f64, now_us: u64) -> bool {
         let window_us = self.cold.window_us.max(1);
-        let warmth = |at: &Backend| at.warmth(&self.cold, now_us.saturating_sub(window_us / 2));
-        let bears = self.cold.multiple * warmth(backend) * self.slowest_pace * window_us as f64;
-        let sent = backend.sent_since(now_us.saturating_sub(window_us));
-        let (users, luck, begun_us) = self.turn(backend, now_us, window_us);
-        let part = bears / (users * self.processes) as f64;
-        // A part below one query is dealt in turns that add up to the whole, each to be taken in its first
-        // half, none that began before the start was heard of: what has gathered would go at once.
-        let dealt = luck * work < part && begun_us >= backend.heard_us && now_us < begun_us + window_us / 2;
-        // Who has just started knows no pace and may follow one that sent there. Parts are for their users.
-        let young = |of: bool| of && self.ours().any(|at| warmth(at) >= 1.0);
-        let follows = backend.since_us < self.began_us && now_us < self.began_us + window_us;
-        let within = || sent + work <= part && !young(follows) || sent <= 0.0 && dealt;
-        let ours = || self.standing.probes || self.part.contains(&backend.listed.backend);
-        let knows = || !young(self.ours().all(|at| at.learned.is_none()));
-        warmth(backend) >= 1.0 || within() && ours() && knows()
+        let warmth = |at: &Backend| at.warmup_factor(&self.cold, now_us.saturating_sub(window_us / 2));
+        let budget = self.cold.capacity_multiple * warmth(backend) * self.slowest_pace * window_us as f64;
+        let sent = backend.cold_work_since(now_us.saturating_sub(window_us));
+        let (sharers, turn_number, turn_start_us) = self.turn(backend, now_us, window_us);
+        let share = budget / (sharers * self.processes) as f64;
+        // A share below one query is granted in turns that add up to the share. A turn may only be used in
+        // its first half and only if it began after the start was known; otherwise turns of several proxies
+        // would be used at once.
+        let turn_granted = turn_number * work < share
+            && turn_start_us >= backend.start_heard_us
+            && now_us < turn_start_us + window_us / 2;
+        // A proxy that has just started knows no pace, and may replace a process that has sent work there
+        // already. Only the proxies that have the backend in their subset have a share.
+        let newly_started = |of: bool| of && self.subset_backends().any(|at| warmth(at) >= 1.0);
+        let may_follow_predecessor =
+            backend.since_us < self.first_list_us && now_us < self.first_list_us + window_us;
+        let within_share =
+            || sent + work <= share && !newly_started(may_follow_predecessor) || sent <= 0.0 && turn_granted;
+        let in_subset = || self.deployment.probes || self.subset.contains(&backend.listed.backend);
+        let pace_known = || !newly_started(self.subset_backends().all(|at| at.median_pace.is_none()));
+        warmth(backend) >= 1.0 || within_share() && in_subset() && pace_known()
     }
 
-    /// Whether what this proxy has out is what crowded backends hold of it; none are at 0.9 of their cores.
-    fn crowded(&self, now_us: u64) -> bool {
-        let told = self.standing.probes || self.standing.peers || (1e-9..0.9).contains(&self.used);
-        let users = |backend: &Backend| 1.0 / (backend.sharers.len() + 1) as f64;
-        let fair: f64 = self.ours().filter(|backend| backend.shut_until_us <= now_us).map(users).sum();
-        let known = self.reported.count >= 16;
-        let share = if known { self.own_out.mean / self.reported.mean.max(1e-9) } else { 0.0 };
-        !told && self.out() >= CROWD * share.clamp(fair, fair * 2.0)
+    /// Whether this proxy has as much in flight as its share at overloaded backends. Always false where load
+    /// is known from probes, peers, or a reported utilisation below 0.9.
+    fn inferred_overload(&self, now_us: u64) -> bool {
+        let told =
+            self.deployment.probes || self.deployment.peers || (1e-9..0.9).contains(&self.mean_utilisation);
+        let users = |backend: &Backend| 1.0 / (backend.sharing_peers.len() + 1) as f64;
+        let fair: f64 =
+            self.subset_backends().filter(|backend| backend.ejected_until_us <= now_us).map(users).sum();
+        let known = self.reported_in_flight.count >= 16;
+        let share =
+            if known { self.own_in_flight.mean / self.reported_in_flight.mean.max(1e-9) } else { 0.0 };
+        !told && self.out() >= EXECUTION_LIMIT_INFERRED * share.clamp(fair, fair * 2.0)
     }
 
     /// Whether the executions of this workload fail far more often than another's on the same backends; and
-    /// whether they hold these up: one goes out at a time then, none for a while after each that fails.
-    fn suspect(&self, workload: usize) -> (bool, bool) {
-        let others = self.failing.iter().enumerate().filter(|(other, _)| *other != workload);
+    /// whether they block these backends: then only one is sent at a time, and none for a while after each
+    /// failure.
+    fn suspect_workload(&self, workload: usize) -> (bool, bool) {
+        let others = self.failure_rates.iter().enumerate().filter(|(other, _)| *other != workload);
         let least = others.filter(|(_, of)| of.count >= 8).map(|(_, of)| of.mean).fold(1.0, f64::min);
-        let own = if self.failing[workload].count >= 8 { self.failing[workload].mean } else { 0.0 };
-        let holds_up = own > HOLDS_UP.0 && (1.0 - own) * HOLDS_UP.1 < 1.0 - least;
-        (own > (least * 2.0).max(SUSPECT), holds_up)
+        let own =
+            if self.failure_rates[workload].count >= 8 { self.failure_rates[workload].mean } else { 0.0 };
+        let blocks = own > BLOCKING_FAILURE.0 && (1.0 - own) * BLOCKING_FAILURE.1 < 1.0 - least;
+        (own > (least * 2.0).max(SUSPECT_FAILURE_RATE), blocks)
     }
 
-    /// Whether rules, health and room for its kind let this query go to this backend at all.
+    /// Whether the rules, health and execution limit permit this query on this backend at all.
     fn usable(&self, qry: &Query, backend: &Backend, now_us: u64) -> bool {
         backend.open(now_us, qry.importance)
-            && (self.standing.probes || (backend.crowd() as f64) < self.bears)
+            && (self.deployment.probes || (backend.execution_count() as f64) < self.execution_limit)
             && qry.executions.iter().all(|exec| exec.backend != backend.listed.backend)
-            && self.allowed(qry, &backend.listed, now_us)
+            && self.repeat_allowed(qry, &backend.listed, now_us)
             && self.within_cold_budget(backend, qry.work, now_us)
     }
 
-    /// Work of this backend's that a crossing costs a query, by its importance against the others'.
-    fn toll(&self, qry: &Query, backend: &Backend) -> f64 {
-        let far = self.standing.zone.is_some_and(|zone| zone != backend.listed.zone);
-        let worth = qry.importance * qry.work / self.usual_importance.max(1e-9);
-        let crossing = f64::from(u8::from(far)) * self.standing.crossing / worth.max(1e-3);
-        // One that must never run twice has one chance: what lost answers lately loses it by as much.
-        let once = self.workloads[qry.workload].repeat == Repeat::NonIdempotent;
-        let lost = f64::from(u8::from(once) * backend.failures.count_ones() as u8) * LOSS;
+    /// The cost of placing a query on this backend, in units of its work: for crossing zones, by the query's
+    /// importance relative to the others', and for answers lost recently.
+    fn placement_cost(&self, qry: &Query, backend: &Backend) -> f64 {
+        let other_zone = self.deployment.zone.is_some_and(|zone| zone != backend.listed.zone);
+        let relative_importance = qry.importance * qry.work / self.mean_importance.max(1e-9);
+        let crossing =
+            f64::from(u8::from(other_zone)) * self.deployment.cross_zone_cost / relative_importance.max(1e-3);
+        // A query that must not be executed twice is lost with its answer, so recently lost answers count as
+        // a cost.
+        let single_execution = self.workloads[qry.workload].repeat == Repeat::NonIdempotent;
+        let lost =
+            f64::from(u8::from(single_execution) * backend.failures.count_ones() as u8) * LOST_ANSWER_COST;
         (crossing + lost) * qry.slo_us as f64 * backend.pace
     }
 
-    /// The next in the smooth weighted rotation of those in the group that `may` be used.
+    /// The next in the smooth weighted round robin among the group's members that `may` be used.
     fn rotate(&mut self, kind: usize, may: &[u32]) -> Option<u32> {
         let mut among: Vec<&mut Member> =
             self.groups[kind].iter_mut().filter(|member| may.contains(&member.backend)).collect();
-        let weight = |at: &Member| self.fleet[&at.backend].listed.weight * self.fleet[&at.backend].trust();
+        let weight =
+            |at: &Member| self.fleet[&at.backend].listed.weight * self.fleet[&at.backend].phase_out_factor();
         let whole: f64 = among.iter().map(|member| weight(member)).sum();
         among.iter_mut().for_each(|member| member.turn += weight(member));
         let next = among.into_iter().max_by(|a, b| a.turn.total_cmp(&b.turn))?;
@@ -266,85 +319,97 @@
         Some(next.backend)
     }
 
-    /// Probes candidates: the group's next in rotation, and unless it is light some of the group, where none
-    /// of them fits of the zone, of all where the wait costs more than crossing. True once the best is known.
+    /// Probes candidates: the group's next in rotation; unless that is lightly loaded, some of the group; if
+    /// none of them fits, some of the zone; and some of all where waiting costs more than crossing zones.
+    /// True once the best is known.
     fn ask(&mut self, id: &str, now_us: u64, out: &mut dyn Writer) -> bool {
         loop {
             let qry = &self.queries[id];
             let usable = |at: &&Backend| self.usable(qry, at, now_us);
-            let spare = |backend: &Backend| backend.room() - self.toll(qry, backend);
+            let spare = |backend: &Backend| backend.spare_capacity() - self.placement_cost(qry, backend);
             let asked = qry.asked.iter().map(|at| &self.fleet[at]).filter(usable);
             let best = asked.max_by(|a, b| spare(a).total_cmp(&spare(b)));
-            // One mean query on the rotation's next leaves it light: more cores than one can't be told.
-            let light = if qry.waves == 1 { VALUES[1] } else { 0.0 };
-            let fits = |best: &Backend| qry.waves > 1 && best.load() + qry.load <= best.max;
+            // The next in rotation is still lightly loaded with one mean query: whether it has several cores
+            // is unknown.
+            let light = if qry.probe_waves == 1 { TYPE_LOADS[1] } else { 0.0 };
+            let fits = |best: &Backend| qry.probe_waves > 1 && best.load() + qry.load <= best.max;
             let enough = |best: &Backend| best.load() <= light.max(best.max / 10.0) || fits(best);
-            if best.is_some_and(enough) || qry.waves >= WAVES {
-                // What was found, in maxima: the next queries may be turned away for it without a probe.
-                let found = best.filter(|at| at.probed.is_none()).map(|at| at.load() / at.max.max(1e-9));
-                self.strain = found.map_or(self.strain, |found| (now_us, found.min(BEARS * 2.0)));
+            if best.is_some_and(enough) || qry.probe_waves >= MAX_PROBE_WAVES {
+                // The load found, as a multiple of the maximum: the next queries may be rejected for it
+                // without a probe.
+                let found =
+                    best.filter(|at| at.probe_in_flight.is_none()).map(|at| at.load() / at.max.max(1e-9));
+                self.probed_load =
+                    found.map_or(self.probed_load, |found| (now_us, found.min(OVERLOAD_FACTOR * 2.0)));
                 return found.is_some() || best.is_none();
             }
             let fit = |at: &u32| {
                 let backend = &self.fleet[at];
-                let worth_it = best.is_none_or(|best| self.toll(qry, backend) < best.load());
-                worth_it && backend.found < backend.max * BEARS && !qry.asked.contains(at) && usable(&backend)
+                let worth_it = best.is_none_or(|best| self.placement_cost(qry, backend) < best.load());
+                worth_it
+                    && backend.found < backend.max * OVERLOAD_FACTOR
+                    && !qry.asked.contains(at)
+                    && usable(&backend)
             };
-            let (kind, bound) = (qry.kind, qry.binding().is_some());
+            let (kind, bound) = (qry.kind, qry.binding_execution().is_some());
             let group = || self.groups[kind].iter().map(|member| member.backend).collect();
-            let (waves, from): (u32, Vec<u32>) = match qry.waves {
-                _ if bound => (WAVES, self.fleet.keys().copied().filter(fit).collect()),
-                0 if qry.load <= VALUES[3] => (1, group()),
+            let (next_wave, from): (u32, Vec<u32>) = match qry.probe_waves {
+                _ if bound => (MAX_PROBE_WAVES, self.fleet.keys().copied().filter(fit).collect()),
+                0 if qry.load <= TYPE_LOADS[3] => (1, group()),
                 0 | 1 => (2, group()),
-                2 => (3, self.part.clone()),
-                _ => (WAVES, self.beyond.clone()),
+                2 => (3, self.subset.clone()),
+                _ => (MAX_PROBE_WAVES, self.remote_subset.clone()),
             };
-            let mut of: Vec<u32> = Vec::new();
-            if waves == 1 {
+            let mut chosen: Vec<u32> = Vec::new();
+            if next_wave == 1 {
                 let may: Vec<u32> = from.into_iter().filter(fit).collect();
-                of.extend(self.rotate(kind, &may));
+                chosen.extend(self.rotate(kind, &may));
             } else {
                 let mut rng = self.rng.clone();
-                for _ in 0..if from.is_empty() { 0 } else { WAVE * 4 } {
+                for _ in 0..if from.is_empty() { 0 } else { PROBES_PER_WAVE * 4 } {
                     let at = from[rng.usize(..from.len())];
-                    let drawn = rng.f64() * self.most_weight <= self.fleet[&at].listed.weight;
-                    if drawn && of.len() < WAVE && !of.contains(&at) && fit(&at) {
-                        of.push(at);
+                    let drawn = rng.f64() * self.max_weight <= self.fleet[&at].listed.weight;
+                    if drawn && chosen.len() < PROBES_PER_WAVE && !chosen.contains(&at) && fit(&at) {
+                        chosen.push(at);
                     }
                 }
                 self.rng = rng;
             }
-            of.iter().for_each(|at| self.probe(*at, now_us, out));
-            let qry = self.queries.get_mut(id).expect("waiting queries are live");
-            qry.waves = waves;
-            qry.asked.extend(of);
+            chosen.iter().for_each(|at| self.probe(*at, now_us, out));
+            let qry = self.queries.get_mut(id).expect("waiting queries are open");
+            qry.probe_waves = next_wave;
+            qry.asked.extend(chosen);
         }
     }
 
-    /// One probe of a backend is out at a time, unless it never returns.
+    /// Probes a backend, unless a probe is pending there that doesn't count as lost.
     fn probe(&mut self, id: u32, now_us: u64, out: &mut dyn Writer) {
         let backend = self.fleet.get_mut(&id).expect("only listed backends are probed");
-        if backend.probed.is_none_or(|(sent_us, _)| now_us > sent_us + PROBE_LOST_US) {
-            backend.probed = Some((now_us, self.last_serial + 1));
+        if backend.probe_in_flight.is_none_or(|(sent_us, _)| now_us > sent_us + PROBE_LOST_AFTER_US) {
+            backend.probe_in_flight = Some((now_us, self.last_serial + 1));
             out.probe(id);
         }
     }
 
+    /// Chooses a backend for a query, or for a hedged request if `second`.
     fn choose(&mut self, id: &str, now_us: u64, second: bool, out: &mut dyn Writer) -> Option<u32> {
-        if self.crowded(now_us) {
+        if self.inferred_overload(now_us) {
             return None;
         }
-        let asks = self.standing.probes && !second;
+        let asks = self.deployment.probes && !second;
         if asks && !self.ask(id, now_us, out) {
             return None;
         }
         let mut rng = self.rng.fork();
         let qry = &self.queries[id];
-        // Of what probes found the less is borne the less important the query is.
-        let least = |at: &Backend| at.load() <= (at.max * BEARS * qry.importance).max(BEARS_LEAST);
-        let known = |at: &Backend| qry.asked.contains(&at.listed.backend) && at.probed.is_none() && least(at);
+        // The less important the query, the lower the probed load up to which it is placed.
+        let acceptable =
+            |at: &Backend| at.load() <= (at.max * OVERLOAD_FACTOR * qry.importance).max(ALWAYS_ACCEPTED_LOAD);
+        let known = |at: &Backend| {
+            qry.asked.contains(&at.listed.backend) && at.probe_in_flight.is_none() && acceptable(at)
+        };
         let usable = |at: &Backend| (!asks || known(at)) && self.usable(qry, at, now_us);
-        let (kind, tail) = (qry.kind, qry.load > VALUES[3]);
+        let (kind, tail) = (qry.kind, qry.load > TYPE_LOADS[3]);
         let (mut load, mut max) = (0.0, 0.0);
         let mut own = Vec::new();
         for member in &self.groups[kind] {
@@ -354,24 +419,27 @@
                 own.push(member.backend);
             }
         }
-        // Rotation would send a long tail to the slowest as readily as to the fastest.
+        // The rotation would send a long-tail query to the slowest backend as readily as to the fastest.
         if load <= max / 10.0 && !own.is_empty() && !tail && !asks {
             return self.rotate(kind, &own);
         }
-        // A long tail is past every maximum: it fits where it would end within its SLO time.
-        let left_us = qry.on_time_us(now_us) as f64;
-        let (load, work, reach) = (qry.load, qry.work, 1.0 + qry.importance);
+        // A long-tail query exceeds every maximum: it fits where it would end within its SLO time.
+        let left_us = qry.slo_remaining_us(now_us) as f64;
+        let (load, work, overload_allowance) = (qry.load, qry.work, 1.0 + qry.importance);
         let fits = |at: &Backend| match tail {
             true => at.load() < at.max && at.work() + work <= at.pace * left_us,
             false => at.idle() && at.found <= 0.0 && work <= at.pace * left_us || at.load() + load <= at.max,
         };
-        // Past the maxima the more important go further; the rest waits where it can still be rejected.
-        let bears = |backend: &Backend| !second && backend.load() < backend.max * reach;
+        // More important queries may exceed the maximum further; the others wait here, where they can still
+        // be rejected.
+        let within_allowance =
+            |backend: &Backend| !second && backend.load() < backend.max * overload_allowance;
         let mut roomiest = |among: &[u32], takes: &dyn Fn(&Backend) -> bool| {
             let (mut best, mut most, mut ties) = (None, f64::NEG_INFINITY, 0);
             for (id, backend) in among.iter().map(|id| (id, &self.fleet[id])).filter(|of| takes(of.1)) {
-                let (toll, ahead) = (self.toll(qry, backend), backend.work() + work);
-                let room = if tail { -(ahead + toll) / backend.pace } else { backend.room() - toll };
+                let (toll, ahead) = (self.placement_cost(qry, backend), backend.work() + work);
+                let room =
+                    if tail { -(ahead + toll) / backend.pace } else { backend.spare_capacity() - toll };
                 ties = if room == most { ties + 1 } else { 1 };
                 if room > most || room == most && rng.u32(0..ties) == 0 {
                     (best, most) = (Some(*id), room);
@@ -379,152 +447,168 @@
             }
             best
         };
-        // A bound query's group may lie outside the part.
-        let mut all = match qry.binding() {
+        // The deduplication group of a query that may have run may lie outside the subset.
+        let mut all = match qry.binding_execution() {
             _ if asks => qry.asked.clone(),
             Some(_) => self.fleet.keys().copied().collect(),
-            None => self.part.clone(),
+            None => self.subset.clone(),
         };
         all.retain(|id| usable(&self.fleet[id]));
         let first = roomiest(&own, &fits).or_else(|| roomiest(&all, &fits));
-        first.or_else(|| roomiest(&own, &bears)).or_else(|| roomiest(&all, &bears))
+        first.or_else(|| roomiest(&own, &within_allowance)).or_else(|| roomiest(&all, &within_allowance))
     }
 
+    /// Sends an execution of a query to a backend.
     fn execute(&mut self, qry: &str, id: u32, now_us: u64, out: &mut dyn Writer) {
         self.last_serial += 1;
-        let qry = self.queries.get_mut(qry).expect("placed queries are live");
+        let qry = self.queries.get_mut(qry).expect("placed queries are open");
         let backend = self.fleet.get_mut(&id).expect("only listed backends are used");
-        if backend.warmth(&self.cold, now_us) < 1.0 {
+        if backend.warmup_factor(&self.cold, now_us) < 1.0 {
             backend.cold_sent.retain(|sent| sent.0 + self.cold.window_us >= now_us);
             backend.cold_sent.push_back((now_us, qry.work));
         }
-        let (ahead, told) = (backend.work() + qry.work, self.standing.peers);
+        let (ahead, told) = (backend.work() + qry.work, self.deployment.peers);
         backend.held.insert(self.last_serial, Held::new(qry, now_us, ahead, told));
         let expected_us = (ahead / backend.pace.max(1e-9)) as u64;
-        let timeout_us = qry.timeout_us(now_us, self.standing.clocks.deadline_us);
-        out.execute(&qry.id, id, timeout_us, qry.repeats_for_us(&self.workloads, now_us));
+        let timeout_us = qry.timeout_us(now_us, self.deployment.clocks.deadline_us);
+        out.execute(&qry.id, id, timeout_us, qry.dedup_left_us(&self.workloads, now_us));
         qry.executions.push(Execution::new(id, self.last_serial, now_us, expected_us));
-        backend.tell(told, out);
+        backend.notify_peers(told, out);
     }
 
+    /// Places the waiting queries, in order, and gives up those that have no chance left.
     fn place_waiting(&mut self, now_us: u64, out: &mut dyn Writer) {
         let mut full = false;
         for entry in self.waiting.clone() {
             let qry = &self.queries[&entry.2];
-            let last_chance = self.part.is_empty() || qry.left_us(now_us) <= 2 * SWEEP_US;
-            let (bound, on_time) = (qry.binding().is_some(), qry.left_us(now_us) > 0);
+            let last_chance = self.subset.is_empty() || qry.remaining_us(now_us) <= 2 * SWEEP_INTERVAL_US;
+            let (bound, on_time) = (qry.binding_execution().is_some(), qry.remaining_us(now_us) > 0);
             let place = if full || !on_time { None } else { self.choose(&entry.2, now_us, false, out) };
             if let Some(id) = place {
                 self.waiting.remove(&entry);
                 self.execute(&entry.2, id, now_us, out);
-            } else if last_chance || self.queries[&entry.2].asked_all(&self.fleet) {
+            } else if last_chance || self.queries[&entry.2].probing_done(&self.fleet) {
                 self.give_up(&entry.2, now_us, out);
             }
-            // What even an unbound query finds full is full for the less important after it.
-            full |= place.is_none() && !bound && !self.standing.probes;
+            // If an unrestricted query finds no room, neither will the less important ones after it.
+            full |= place.is_none() && !bound && !self.deployment.probes;
         }
     }
 
-    /// The final answer to a query that gets no further execution, at once.
+    /// Immediately sends the final answer to a query that gets no further execution.
     fn give_up(&mut self, id: &str, now_us: u64, out: &mut dyn Writer) {
         let wait_us = self.expected_wait_us(Reverse(0)) as u64;
         let qry = &self.queries[id];
         let workload = &self.workloads[qry.workload];
-        // Past its SLO time another try would be for nothing.
-        let past = workload.tardy_importance <= 0.0 && qry.on_time_us(now_us) < self.target_us as u64;
-        let wait_us = if past { u64::MAX } else { wait_us };
+        // After its SLO time a retry would earn nothing.
+        let too_late =
+            workload.tardy_importance <= 0.0 && qry.slo_remaining_us(now_us) < self.target_us as u64;
+        let wait_us = if too_late { u64::MAX } else { wait_us };
         let all = workload.repeat == Repeat::Deduplicated && workload.group == DedupGroup::All;
-        let harmless = qry.binding().is_none() || workload.repeat == Repeat::Idempotent || all;
-        match harmless {
+        let retry_harmless =
+            qry.binding_execution().is_none() || workload.repeat == Repeat::Idempotent || all;
+        match retry_harmless {
             true => out.reject(&qry.id, wait_us.max(self.target_us as u64).min(qry.limits.max_backoff_us)),
             false => out.abort(&qry.id),
         }
         self.close(id, out);
     }
 
-    /// Shuts a backend whose last few outcomes are bad and twice as bad as its peers': when all fail
-    /// alike it is no backend's fault, and about a third of the part is shut at most.
-    fn judge(&mut self, id: u32, success: bool, now_us: u64) {
+    /// Records an outcome and ejects a backend whose recent outcomes are bad and twice as bad as the others'.
+    /// If all fail alike no single backend is at fault; at most about a third of the subset is ejected.
+    fn update_health(&mut self, id: u32, success: bool, now_us: u64) {
         let judged = self.fleet.get_mut(&id).expect("only listed backends are used");
         judged.failures = judged.failures << 1 | u8::from(!success);
-        // Where the list is no proof, answers are: each takes one that was dropped a step up, a failure down.
-        let dropped = judged.steps > 0;
+        // For a backend removed from a list that isn't binding, outcomes decide: a success raises its use by
+        // one step, a failure lowers it.
+        let dropped = judged.phase_out_steps > 0;
         if dropped {
-            judged.steps = if success { (judged.steps + 1).min(STEPS) } else { judged.steps - 1 };
+            judged.phase_out_steps = if success {
+                (judged.phase_out_steps + 1).min(PHASE_OUT_STEPS)
+            } else {
+                judged.phase_out_steps - 1
+            };
         }
         if success {
-            (judged.shut_for_us, judged.shut_until_us) = (0, 0);
+            (judged.ejection_us, judged.ejected_until_us) = (0, 0);
             return;
         }
-        if dropped && judged.steps == 0 {
-            return self.forget_gone();
+        if dropped && judged.phase_out_steps == 0 {
+            return self.remove_gone();
         }
         let recent = |backend: &Backend| backend.failures.count_ones();
-        let shut = self.ours().filter(|backend| backend.shut_for_us > 0).count() as u32;
-        let (ready, all): (u32, u32) = (self.part.len() as u32, self.ours().map(recent).sum());
+        let shut = self.subset_backends().filter(|backend| backend.ejection_us > 0).count() as u32;
+        let (ready, all): (u32, u32) = (self.subset.len() as u32, self.subset_backends().map(recent).sum());
         let backend = self.fleet.get_mut(&id).expect("only listed backends are used");
-        // Where outcomes are few, one failure tells as much as three do elsewhere, and for longer.
-        let (least, rest_us) = if self.standing.probes { (1, 2_000_000) } else { (3, 500_000) };
+        // Probing proxies see few outcomes, so one failure counts like three elsewhere, and for longer.
+        let (least, rest_us) = if self.deployment.probes { (1, 2_000_000) } else { (3, 500_000) };
         let worse = recent(backend) >= least && recent(backend) * ready >= 2 * all && shut * 3 < ready;
-        if backend.shut_for_us > 0 || worse {
-            backend.shut_for_us = (backend.shut_for_us * 2).clamp(rest_us, rest_us * 8);
-            backend.shut_until_us = now_us + backend.shut_for_us;
+        if backend.ejection_us > 0 || worse {
+            backend.ejection_us = (backend.ejection_us * 2).clamp(rest_us, rest_us * 8);
+            backend.ejected_until_us = now_us + backend.ejection_us;
             backend.failures = 0;
         }
     }
 
+    /// Periodic work: decays estimates, gives up queries that have waited too long, and sends hedged
+    /// requests.
     fn sweep(&mut self, now_us: u64, out: &mut dyn Writer) {
-        if now_us >= self.fade_us {
-            self.fade_us = now_us + MAXIMA_US;
-            // Without new outcomes an old pace fades, or a backend that was slow once would stay unused.
-            self.fleet.values_mut().for_each(|backend| backend.fade(now_us, 5_000_000));
-            self.bears = (self.bears * CROWD_BACK).min(CROWD_TOLD);
+        if now_us >= self.next_decay_us {
+            self.next_decay_us = now_us + MAXIMA_INTERVAL_US;
+            // Old paces decay without new outcomes; otherwise a backend that was slow once would stay unused.
+            self.fleet.values_mut().for_each(|backend| backend.decay_paces(now_us, 5_000_000));
+            self.execution_limit =
+                (self.execution_limit * LIMIT_RECOVERY_FACTOR).min(EXECUTION_LIMIT_REPORTED);
         }
         self.find_late(now_us);
-        // Half the SLO time in vain here leaves too little for the rest: a prompt answer is better.
+        // After half the SLO time in the queue too little is left for the execution: a prompt rejection is
+        // better.
         let waiting = self.waiting.iter().map(|entry| &self.queries[&entry.2]);
         let stale = waiting.filter(|qry| now_us > qry.arrived_us + qry.slo_us / 2);
-        // Where time-outs are longer than what a query is worth, its end is looked for here.
-        let ended = self.queries.values().filter(|qry| !qry.over && qry.out() && qry.left_us(now_us) == 0);
-        let ended = ended.filter(|_| self.standing.clocks.deadline_us > 0);
-        // What holds up its backend would be late in any case, and so would what waits behind it.
-        let holds: Vec<bool> = (0..self.failing.len()).map(|of| self.suspect(of).1).collect();
+        // Where clocks differ, time-outs exceed the time in which an answer is worth anything, so its end is
+        // checked here.
+        let ended =
+            self.queries.values().filter(|qry| !qry.finished && qry.out() && qry.remaining_us(now_us) == 0);
+        let ended = ended.filter(|_| self.deployment.clocks.deadline_us > 0);
+        // A query that blocks its backend would be late in any case, as would those queued behind it.
+        let holds: Vec<bool> = (0..self.failure_rates.len()).map(|of| self.suspect_workload(of).1).collect();
         let late = |qry: &&Query| {
-            !qry.over && holds[qry.workload] && qry.executions.iter().any(|at| at.out && at.late)
+            !qry.finished && holds[qry.workload] && qry.executions.iter().any(|at| at.out && at.late)
         };
         let late = self.queries.values().filter(late);
         for id in stale.chain(ended).chain(late).map(|qry| qry.id.clone()).collect::<BTreeSet<String>>() {
             self.give_up(&id, now_us, out);
         }
-        // A second copy leaves a backend that is slow against its peers, never one among a slow fleet, within
-        // a budget that overload spends at once: further executions must not feed it. Where copies may not
-        // run side by side what is lost is called off first; an answered probe tells that it was passed.
-        let usual = mean_or(self.ours().map(|backend| backend.pace), 0.0);
+        // Hedged requests are sent only if the backend is slow relative to the others, not if all are slow,
+        // and within a retry budget that overload exhausts at once, so that further executions don't amplify
+        // it. Where executions may not run concurrently, a lost one is cancelled first; an answered probe
+        // shows that it was overtaken.
+        let usual = mean_or(self.subset_backends().map(|backend| backend.pace), 0.0);
         let late = |qry: &Query| {
             let (ran, two) = (qry.executions.len(), qry.limits.may_duplicate);
-            let exec = qry.executions.last().filter(|exec| exec.out && !exec.called_off)?;
+            let exec = qry.executions.last().filter(|exec| exec.out && !exec.cancel_sent)?;
             let once = self.workloads[qry.workload].repeat == Repeat::NonIdempotent;
-            let may = if two { ran == 1 } else { self.standing.probes && qry.limits.cancel && !once };
-            // One whose deadline is reached gets none: its time-out is on its way here.
-            let late_us = exec.sent_us + (2 * exec.expected_us).max(qry.slo_us / 3);
-            let may = may && !self.suspect(qry.workload).0;
-            let due = may && !qry.over && qry.may_go_on(now_us) && now_us > late_us;
+            let may = if two { ran == 1 } else { self.deployment.probes && qry.limits.cancel && !once };
+            // After the deadline there is none: the time-out is about to arrive here.
+            let late_us = exec.sent_us + (2 * exec.expected_duration_us).max(qry.slo_us / 3);
+            let may = may && !self.suspect_workload(qry.workload).0;
+            let due = may && !qry.finished && qry.may_retry(now_us) && now_us > late_us;
             due.then(|| (qry.id.clone(), exec.backend, exec.serial, two))
         };
         for (id, at, serial, two) in self.queries.values().filter_map(late).collect::<Vec<_>>() {
             let backend = &self.fleet[&at];
             let lost = backend.held.get(&serial).is_some_and(|held| held.lost);
             let copy = two && (lost || backend.pace * 2.0 < usual);
-            if self.further < 1.0 {
+            if self.retry_budget < 1.0 {
                 break;
             } else if !two && lost {
-                let qry = self.queries.get_mut(&id).expect("late queries are live");
+                let qry = self.queries.get_mut(&id).expect("late queries are open");
                 out.cancel(&id, qry.executions.len() as u32 - 1);
-                qry.executions.last_mut().expect("one is late").called_off = true;
-            } else if !two && backend.passed <= serial {
+                qry.executions.last_mut().expect("a late query has an execution").cancel_sent = true;
+            } else if !two && backend.last_completed_serial <= serial {
                 self.probe(at, now_us, out);
             } else if let Some(to) = copy.then(|| self.choose(&id, now_us, true, out)).flatten() {
-                self.further -= 1.0;
+                self.retry_budget -= 1.0;
                 self.execute(&id, to, now_us, out);
             }
         }
@@ -532,6 +616,8 @@
 }
 
 impl Inbox<'_> {
+    /// A query has arrived, with the remaining time of its client and an optional cost hint; `is_retry` marks
+    /// one that its client has sent before. Fails if the workload does not exist.
     pub fn query(
         &mut self,
         id: &str,
@@ -539,52 +625,62 @@
         tenant: usize,
         ttl_us: u64,
         hint_us: Option<u64>,
-        again: bool,
+        is_retry: bool,
     ) -> Result<(), String> {
         let b = &mut *self.balancer;
-        let about = b.workloads.get(workload).ok_or_else(|| format!("unknown workload {workload}"))?;
-        let (slo_us, tardy) = (about.slo_us, about.tardy_importance);
-        let mut importance = about.importance / b.most_importance;
-        if !b.tenants.get_mut(tenant).is_none_or(|share| share.take(self.now_us)) {
-            importance *= b.tenants[tenant].beyond;
+        let settings = b.workloads.get(workload).ok_or_else(|| format!("unknown workload {workload}"))?;
+        let (slo_us, tardy) = (settings.slo_us, settings.tardy_importance);
+        let mut importance = settings.importance / b.max_importance;
+        if !b.tenants.get_mut(tenant).is_none_or(|share| share.try_take(self.now_us)) {
+            importance *= b.tenants[tenant].over_quota_importance;
         }
-        hint_us.into_iter().for_each(|hint_us| b.hinted(hint_us as f64));
+        hint_us.into_iter().for_each(|hint_us| b.record_hint(hint_us as f64));
         let units = hint_us.filter(|_| b.unit_us > 0.0).map(|hint_us| hint_us as f64 / b.unit_us);
-        let kind = CUTS.iter().filter(|cut| units.is_some_and(|units| units >= **cut)).count();
-        // The exception for long tails: past the heaviest value a query counts what its hint says.
-        let load = units.filter(|_| kind == 3).map_or(VALUES[kind], |units| units.max(VALUES[3]));
+        let kind = TYPE_CUTOFFS.iter().filter(|cut| units.is_some_and(|units| units >= **cut)).count();
+        // The exception for long tails: above the heaviest type's value, the hint itself is the load.
+        let load = units.filter(|_| kind == 3).map_or(TYPE_LOADS[kind], |units| units.max(TYPE_LOADS[3]));
         b.traffic[kind] += load;
-        // Some cannot end in time even on the fastest backend: they would only keep it from the others.
-        let fastest = b.speeds.at(0.9).filter(|_| b.speeds.len() >= ENOUGH);
-        let takes_us = hint_us.zip(fastest).map_or(0.0, |(hint, fastest)| hint as f64 * 1e3 / fastest);
-        if takes_us > slo_us as f64 {
+        // Some queries can't end in time even on the fastest backend: they would only keep it from the
+        // others.
+        let fastest = b.speeds.at(0.9).filter(|_| b.speeds.len() >= MIN_SPEED_SAMPLES);
+        let fastest_duration_us =
+            hint_us.zip(fastest).map_or(0.0, |(hint, fastest)| hint as f64 * 1e3 / fastest);
+        if fastest_duration_us > slo_us as f64 {
             importance *= tardy;
         }
-        // What is late earns nothing: it would only keep its backend from others. Probing proxies move it.
-        let late = tardy <= 0.0 && !b.standing.probes && b.limits.max_backoff_us > 0;
-        b.further = (b.further + 0.1).min(20.0);
+        // A late answer earns nothing, so its execution would only occupy a backend. Probing proxies move it
+        // instead.
+        let late = tardy <= 0.0 && !b.deployment.probes && b.limits.max_backoff_us > 0;
+        b.retry_budget = (b.retry_budget + 0.1).min(20.0);
         let mut qry = Query::new(id, b.last_serial + 1, workload, self.now_us, b.limits);
         (qry.kind, qry.load, qry.work) = (kind, load, units.unwrap_or(load));
         (qry.slo_us, qry.importance) = (slo_us, importance);
-        qry.time(ttl_us, b.standing.clocks.deadline_us, late);
-        // What would only wait for a buffer is not executed, and is told when one is free.
+        qry.set_deadline(ttl_us, b.deployment.clocks.deadline_us, late);
+        // A query that would only wait for a response buffer is rejected, with a back-off until one is free.
         let unread = b.unread.until_us > qry.deadline_us;
-        let (left_us, place) = (qry.left_us(self.now_us), qry.place());
-        b.hold(qry);
-        // By chance, from a fiftieth of the SLO time in expected wait to an eighth; the cheap wait longer.
-        let chance = if b.standing.probes {
-            let age_us = self.now_us.saturating_sub(b.strain.0) as f64;
-            let strain = b.strain.1 * (1.0 - age_us / STRAIN_US).max(0.0);
-            strain / (BEARS * importance.max(1e-9)) - 0.9
+        let (left_us, place) = (qry.remaining_us(self.now_us), qry.queue_key());
+        b.admit(qry);
+        // Rejects with a probability that rises from 0 at an expected wait of 0.02 of the SLO time to 1 at
+        // 0.12; for the less important the expected wait is longer.
+        let rejection_probability = if b.deployment.probes {
+            let age_us = self.now_us.saturating_sub(b.probed_load.0) as f64;
+            let strain = b.probed_load.1 * (1.0 - age_us / PROBED_LOAD_TTL_US).max(0.0);
+            strain / (OVERLOAD_FACTOR * importance.max(1e-9)) - 0.9
         } else {
             (b.expected_wait_us(place.0) / slo_us.max(1) as f64 - 0.02) / 0.1
         };
-        let (suspect, holds_up) = b.suspect(workload);
-        let rests = self.now_us < b.failing[workload].rests_until_us;
-        let held_up =
-            holds_up && (rests || b.queries.values().any(|qry| qry.workload == workload && qry.out()));
-        // What brings down or hangs whoever takes it comes back as any other does: its first try is enough.
-        if takes_us > left_us as f64 || again && suspect || held_up || unread || b.rng.f64() < chance {
+        let (suspect, blocks) = b.suspect_workload(workload);
+        let paused = self.now_us < b.failure_rates[workload].paused_until_us;
+        let blocked =
+            blocks && (paused || b.queries.values().any(|qry| qry.workload == workload && qry.out()));
+        // Clients also retry queries that crash or hang every backend that takes them, so a suspect one isn't
+        // executed again.
+        if fastest_duration_us > left_us as f64
+            || is_retry && suspect
+            || blocked
+            || unread
+            || b.rng.f64() < rejection_probability
+        {
             b.give_up(id, self.now_us, self.out);
         } else {
             b.waiting.insert(place);
@@ -592,6 +688,7 @@
         Ok(())
     }
 
+    /// An execution has ended; `over` if no further execution is needed.
     pub fn outcome(
         &mut self,
         id: &str,
@@ -603,120 +700,142 @@
     ) {
         let (b, now_us) = (&mut *self.balancer, self.now_us);
         let Some(qry) = b.queries.get_mut(id) else { return };
-        let spent = qry.left_us(now_us) == 0;
+        let spent = qry.remaining_us(now_us) == 0;
         let Some(exec) = qry.executions.get_mut(execution as usize).filter(|exec| exec.out) else { return };
         let backend = b.fleet.get_mut(&exec.backend).expect("only listed backends are used");
-        // Where clocks differ a client's time may end before ours: that is no backend's fault. What was
-        // called off at the end of its worth stands for the time-out that it did not get.
-        let error_us = b.standing.clocks.deadline_us;
+        // Where clocks differ, the client's deadline may pass earlier than assumed here, which is not the
+        // backend's fault. A cancellation at the end of the query's worth counts as the time-out that it
+        // replaced.
+        let error_us = b.deployment.clocks.deadline_us;
         let cut = error_us > 0 && matches!(ended, Ended::TimedOut | Ended::NotSent);
-        let cut = cut && now_us + SWEEP_US < qry.longest_us;
-        // Nor is it his that the buffers here were taken, and the time taken then is not his pace.
-        let unread = b.unread.seen_us > exec.sent_us;
+        let cut = cut && now_us + SWEEP_INTERVAL_US < qry.longest_us;
+        // Nor is it the backend's fault if the response buffers here were full; the time taken then says
+        // nothing of its pace.
+        let unread = b.unread.last_full_us > exec.sent_us;
         qry.deadline_us = if cut { qry.deadline_us.min(now_us) } else { qry.deadline_us };
         let gone = error_us > 0 && ended == Ended::Cancelled && spent;
         let ended = if gone { Ended::TimedOut } else { ended };
-        // One ahead of ours holds for expired what we hold to be in time: full by its clock, not by its load.
+        // A backend whose clock is ahead treats a query as expired that is still in time here: that isn't
+        // overload.
         let by_clock = qry.longest_us.saturating_sub(now_us) < error_us * 2 && backend.load() < backend.max;
-        // Who breaks all he has in work has died: he comes back cold, whatever the list says so far.
-        let breaks = ended == Ended::Dropped && !over && backend.listed.phase == Phase::Ready;
-        let (died, held_there) =
-            (breaks && backend.breaks(now_us), (backend.crowd() + DROPS as usize) as f64);
+        // A backend that drops all its executions has died: it returns cold, whatever the list says so far.
+        let dropped = ended == Ended::Dropped && !over && backend.listed.phase == Phase::Ready;
+        let (died, held_there) = (
+            dropped && backend.record_drop(now_us),
+            (backend.execution_count() + DEATH_DROPS as usize) as f64,
+        );
         if died && backend.since_us + b.cold.window_us < now_us {
             backend.died(now_us);
         }
         exec.out = false;
-        exec.may_have_run = !matches!(ended, Ended::TurnedAway | Ended::Unreachable | Ended::NotSent);
+        exec.may_have_run = !matches!(ended, Ended::Rejected | Ended::Unreachable | Ended::NotSent);
         let held = backend.held.remove(&exec.serial);
-        backend.tell(held.as_ref().is_some_and(|held| held.told), self.out);
-        backend.hear(report.unwrap_or_default());
-        report.and_then(|report| report.held).into_iter().for_each(|held| b.reported.add(held, 64));
+        backend.notify_peers(held.as_ref().is_some_and(|held| held.told), self.out);
+        backend.record_report(report.unwrap_or_default());
+        report.and_then(|report| report.held).into_iter().for_each(|held| b.reported_in_flight.add(held, 64));
         let completed = ended == Ended::Completed;
         let counts = completed || matches!(ended, Ended::TimedOut | Ended::Dropped | Ended::Errored);
-        b.unread.back_us = if completed { now_us } else { b.unread.back_us };
+        b.unread.last_response_us = if completed { now_us } else { b.unread.last_response_us };
         if counts && !exec.late && !unread {
-            b.failing[qry.workload].ended(completed, now_us + qry.slo_us * 4);
+            b.failure_rates[qry.workload].ended(completed, now_us + qry.slo_us * 4);
         }
-        let teaches = completed || ended == Ended::TimedOut && !b.standing.probes;
-        if let Some(held) = held.filter(|_| teaches && !unread) {
-            backend.learn(held.ahead / took_us.max(1) as f64, 16, now_us);
-            // What passed beyond its own work went to a crowd of others: stay away so that all take turns.
+        let informative = completed || ended == Ended::TimedOut && !b.deployment.probes;
+        if let Some(held) = held.filter(|_| informative && !unread) {
+            backend.record_pace(held.work_at_send / took_us.max(1) as f64, 16, now_us);
+            // Time beyond the execution's own work was spent on other proxies' load: pause, so that all
+            // proxies take turns.
             let alone_us = b.speeds.at(0.9).map_or(0.0, |fastest| held.work * b.unit_us * 1e3 / fastest);
             let extra_us = (took_us as f64 - alone_us - b.target_us).clamp(0.0, 1e6);
-            let unseen = backend.sharers.len().saturating_sub(SHARED_BY) as f64;
-            backend.rest = (now_us, extra_us * unseen / 2.0);
+            let unseen = backend.sharing_peers.len().saturating_sub(PROXIES_PER_BACKEND) as f64;
+            backend.cooldown = (now_us, extra_us * unseen / 2.0);
         }
-        if ended == Ended::Unreachable || ended == Ended::TurnedAway && !by_clock {
-            // It says itself that it is full; as it answers at once it would else look the roomiest.
-            backend.shut_until_us = backend.shut_until_us.max(now_us + 2 * b.target_us as u64);
+        if ended == Ended::Unreachable || ended == Ended::Rejected && !by_clock {
+            // The backend itself says that it is full; since it answers at once, it would otherwise appear to
+            // have the most spare capacity.
+            backend.ejected_until_us = backend.ejected_until_us.max(now_us + 2 * b.target_us as u64);
         }
-        let lost = b.standing.probes && (ended == Ended::TimedOut || exec.called_off);
+        let lost = b.deployment.probes && (ended == Ended::TimedOut || exec.cancel_sent);
         backend.failures = backend.failures << u8::from(lost) | u8::from(lost);
-        backend.passed = backend.passed.max(if completed { exec.serial } else { 0 });
+        backend.last_completed_serial =
+            backend.last_completed_serial.max(if completed { exec.serial } else { 0 });
         if completed && b.unit_us > 0.0 {
             b.speeds.record(qry.work * b.unit_us * 1e3 / took_us.max(1) as f64, 256);
         }
-        let (judged, closed, out) = (exec.backend, over || qry.over, qry.out());
-        (qry.waves, qry.asked) = (0, Vec::new());
-        let untold = matches!(ended, Ended::Cancelled | Ended::NotSent | Ended::TurnedAway | Ended::Stale);
-        if !(lost || cut || untold || unread && ended == Ended::TimedOut) {
-            b.judge(judged, completed, now_us);
+        let (judged, closed, out) = (exec.backend, over || qry.finished, qry.out());
+        (qry.probe_waves, qry.asked) = (0, Vec::new());
+        let no_verdict = matches!(ended, Ended::Cancelled | Ended::NotSent | Ended::Rejected | Ended::Stale);
+        if !(lost || cut || no_verdict || unread && ended == Ended::TimedOut) {
+            b.update_health(judged, completed, now_us);
         }
         if died {
-            b.fell(Some(held_there));
+            b.lower_execution_limit(Some(held_there));
         }
         if closed {
             b.close(id, self.out);
         } else if !out {
             let qry = &b.queries[id];
-            // What reached no backend, or hardly, burdens none, so it takes nothing from the budget.
-            let untaken = b.standing.probes && ended == Ended::TurnedAway;
-            let price = if untaken || matches!(ended, Ended::Unreachable | Ended::Stale) { 0.0 } else { 1.0 };
-            let once = qry.executions.len() < 2 && qry.importance >= 1.0;
-            let more = qry.may_go_on(now_us)
-                && (once || !b.suspect(qry.workload).0)
-                && b.further >= price
-                && b.fleet.values().any(|other| other.ready() && b.allowed(qry, &other.listed, now_us));
+            // An execution that reached no backend, or hardly did, loads none and costs no retry budget.
+            let rejected_while_probing = b.deployment.probes && ended == Ended::Rejected;
+            let retry_cost = if rejected_while_probing || matches!(ended, Ended::Unreachable | Ended::Stale) {
+                0.0
+            } else {
+                1.0
+            };
+            let first_retry = qry.executions.len() < 2 && qry.importance >= 1.0;
+            let more = qry.may_retry(now_us)
+                && (first_retry || !b.suspect_workload(qry.workload).0)
+                && b.retry_budget >= retry_cost
+                && b.fleet
+                    .values()
+                    .any(|other| other.ready() && b.repeat_allowed(qry, &other.listed, now_us));
             if more {
-                b.further -= price;
-                b.waiting.insert(qry.place());
+                b.retry_budget -= retry_cost;
+                b.waiting.insert(qry.queue_key());
             } else {
                 b.give_up(id, now_us, self.out);
             }
         }
     }
 
-    /// A probe is back: what it waited for, or what the backend says it holds, is the load there.
-    pub fn probed(&mut self, id: u32, ended: Ended, took_us: u64, report: Option<LoadReport>) {
+    /// A probe has ended: the time it waited, or the executions that the backend reports, give the load
+    /// there.
+    pub fn probe_outcome(&mut self, id: u32, ended: Ended, took_us: u64, report: Option<LoadReport>) {
         let (b, now_us) = (&mut *self.balancer, self.now_us);
-        let Some(backend) = b.fleet.get_mut(&id).filter(|backend| backend.probed.is_some()) else { return };
-        b.quickest_us = if ended == Ended::Completed { b.quickest_us.min(took_us) } else { b.quickest_us };
-        // One that took no more probes is well past its maximum, one that said nothing farther.
-        let maxima = if ended == Ended::TurnedAway { 4.0 } else { 8.0 };
+        let Some(backend) = b.fleet.get_mut(&id).filter(|backend| backend.probe_in_flight.is_some()) else {
+            return;
+        };
+        b.fastest_probe_us =
+            if ended == Ended::Completed { b.fastest_probe_us.min(took_us) } else { b.fastest_probe_us };
+        // A backend that rejects probes is assumed to be well above its maximum, one that does not answer
+        // even further.
+        let maxima = if ended == Ended::Rejected { 4.0 } else { 8.0 };
         let silent = (ended != Ended::Completed).then_some(maxima * backend.max);
-        let waited_us = took_us.saturating_sub(b.quickest_us);
-        backend.see(now_us, waited_us, report.unwrap_or_default(), VALUES[1], silent);
+        let waited_us = took_us.saturating_sub(b.fastest_probe_us);
+        backend.record_probe(now_us, waited_us, report.unwrap_or_default(), TYPE_LOADS[1], silent);
         let errors = report.and_then(|report| report.errors_per_s);
-        let fails = errors.is_some_and(|errors| errors * VALUES[1] > backend.pace * 1e6 / 16.0);
-        if fails || matches!(ended, Ended::TimedOut | Ended::Unreachable | Ended::Dropped) {
-            b.judge(id, false, now_us);
+        let error_rate_high = errors.is_some_and(|errors| errors * TYPE_LOADS[1] > backend.pace * 1e6 / 16.0);
+        if error_rate_high || matches!(ended, Ended::TimedOut | Ended::Unreachable | Ended::Dropped) {
+            b.update_health(id, false, now_us);
         }
     }
 
-    /// Asks anew after a jittered wait, as long as `retry` says.
-    pub fn list_lost(&mut self, failure: Failure) {
+    /// The call to discovery has failed: requests the list again after a jittered wait, as `retry`
+    /// determines.
+    pub fn list_failed(&mut self, failure: Failure) {
         let b = &mut *self.balancer;
         self.out.wake(b.rng.u64(b.retry.failed(failure)), "ask");
     }
 
+    /// Entries of the list of backends have arrived: the complete list if `whole`, else the changed ones.
     pub fn list(&mut self, whole: bool, items: &[Listed]) {
-        // Parts are cut from the whole list: where they are, one that leaves moves them all.
+        // Arcs are cut from the complete list: where there are any, a backend that leaves moves them all.
         let b = &mut *self.balancer;
-        // Probes show what many others' queries weigh: who is one of few knows a large part himself.
-        b.standing.probes &= b.began_us > 0 || b.balancers > items.len();
+        // Probes show the load of other proxies: with few proxies, each knows a large part of the load
+        // itself.
+        b.deployment.probes &= b.first_list_us > 0 || b.proxy_count > items.len();
         let (came, left, held) = b.listed(whole, items, self.now_us);
-        b.fell(held);
-        if came || left && b.balancers > SHARED_BY || b.groups.iter().any(Vec::is_empty) {
+        b.lower_execution_limit(held);
+        if came || left && b.proxy_count > PROXIES_PER_BACKEND || b.groups.iter().any(Vec::is_empty) {
             b.regroup_us = self.now_us;
         }
     }
