--- a/crates/control-plane/src/api.rs
+++ b/crates/control-plane/src/api.rs
@@ -19,14 +19,14 @@
 
 /// The longest request body accepted for a configuration, in bytes.
 pub(crate) const MAX_CONFIGURATION_BYTES: usize = 8 << 20;
-/// A body that is too long is read up to here, so that its sender gets the answer. In bytes.
+/// An oversized body is read up to this many bytes, so that the client has finished sending when it gets the response.
 const MAX_READ_BYTES: u64 = 32 << 20;
 /// The longest request body accepted for a heartbeat, in bytes.
 const MAX_HEARTBEAT_BYTES: usize = 64 << 10;
-/// The longest that a request for the configuration waits for its answer. Callers move on to another process after a
-/// timeout of their own; an answer just before it tells them that the outcome is unknown.
+/// The timeout of configuration requests. It is just below the callers' own timeout, after which they try another
+/// process: the response then tells them that the outcome is unknown.
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(2_900);
-/// The longest that a heartbeat waits for its answer: backends time out after a second.
+/// The timeout of heartbeat requests, below the one second after which backends time out.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// The state shared by the handlers.
@@ -55,7 +55,7 @@
     Route::new()
         .at("/v1/config", get(get_configuration).put(put_configuration).patch(patch_configuration))
         .at("/v1/instances/:id", put(put_instance).delete(delete_instance))
-        .at("/v1/machines/:address", delete(declare_gone))
+        .at("/v1/machines/:address", delete(declare_machine_gone))
         .at("/v1/status", get(get_status))
         .data(api)
 }
@@ -98,16 +98,20 @@
     api: &Api,
     request: impl FnOnce(u64, Bytes, oneshot::Sender<ChangeResponse>) -> ApiRequest,
 ) -> Response {
-    // Whatever is wrong, the body is read first: an answer over unread bytes may be lost with its connection.
+    // Read the body before any error response: closing a connection with unread bytes may discard the response.
     let body = read_body(body, MAX_CONFIGURATION_BYTES).await;
     let Some(if_match) = if_match(http_request) else {
-        return error_response(StatusCode::BAD_REQUEST, "CTL-102", "If-Match names no version");
+        return error_response(
+            StatusCode::BAD_REQUEST,
+            "CTL-102",
+            "the If-Match header is not a version number",
+        );
     };
     let Some(body) = body else {
         return error_response(
             StatusCode::PAYLOAD_TOO_LARGE,
             "CTL-103",
-            "the configuration is too long or was cut short",
+            "the configuration is too long or truncated",
         );
     };
     match api.send_request(CHANGE_TIMEOUT, |reply| request(if_match, body, reply)).await {
@@ -117,11 +121,13 @@
         }
         Some(ChangeResponse::Invalid(reason)) => error_response(StatusCode::BAD_REQUEST, "CTL-105", &reason),
         Some(ChangeResponse::Redirect(peer)) => redirect(peer, api.port, "/v1/config"),
-        Some(ChangeResponse::Unknown) | None => retry_later("the change may be taken or not; send it again"),
+        Some(ChangeResponse::Unknown) | None => {
+            retry_later("the outcome of the change is unknown; send it again")
+        }
     }
 }
 
-/// Reads a body to its end, however long it is up to a bound. `None` if it is longer than `max_bytes`, or was cut short.
+/// Reads a body to its end, or up to `MAX_READ_BYTES`. `None` if it is longer than `max_bytes` or was truncated.
 async fn read_body(body: Body, max_bytes: usize) -> Option<Bytes> {
     let mut reader = body.into_async_read().take(MAX_READ_BYTES);
     let mut bytes = BytesMut::new();
@@ -135,9 +141,9 @@
     (!is_too_long).then(|| bytes.freeze())
 }
 
-/// The version that a change builds on; 0 without an `If-Match` header, `None` if it isn't a number.
+/// The base version of a change: 0 without an `If-Match` header, `None` if the header isn't a number.
 ///
-/// Some callers send it as an entity tag, in quotes or as a weak one.
+/// Accepts entity tags as well, quoted or weak, since some callers send them.
 fn if_match(http_request: &Request) -> Option<u64> {
     let Some(value) = http_request.header(header::IF_MATCH) else { return Some(0) };
     let value = value.trim();
@@ -149,10 +155,12 @@
     match api.send_request(CHANGE_TIMEOUT, |reply| ApiRequest::Get { reply }).await {
         Some(GetResponse::Document(document)) => json_body(StatusCode::OK, document),
         Some(GetResponse::NotFound) => {
-            error_response(StatusCode::NOT_FOUND, "CTL-106", "no configuration was taken yet")
+            error_response(StatusCode::NOT_FOUND, "CTL-106", "no configuration has been committed yet")
         }
         Some(GetResponse::Redirect(peer)) => redirect(peer, api.port, "/v1/config"),
-        Some(GetResponse::Unknown) | None => retry_later("the newest version is not known here; ask again"),
+        Some(GetResponse::Unknown) | None => {
+            retry_later("the newest version is not known to this process; retry")
+        }
     }
 }
 
@@ -167,7 +175,7 @@
         return error_response(
             StatusCode::PAYLOAD_TOO_LARGE,
             "CTL-107",
-            "the heartbeat is too long or was cut short",
+            "the heartbeat is too long or truncated",
         );
     };
     let heartbeat: Heartbeat = match serde_json::from_slice(&body) {
@@ -189,7 +197,7 @@
         Some(HeartbeatResponse::Rejected(error)) => {
             error_response(StatusCode::BAD_REQUEST, "CTL-109", &error.to_string())
         }
-        None => retry_later("not taken"),
+        None => retry_later("the heartbeat was not processed; retry"),
     }
 }
 
@@ -199,7 +207,7 @@
 }
 
 #[handler]
-async fn declare_gone(Path(address): Path<String>, api: Data<&Api>) -> Response {
+async fn declare_machine_gone(Path(address): Path<String>, api: Data<&Api>) -> Response {
     let Ok(machine) = address.parse() else {
         return error_response(StatusCode::BAD_REQUEST, "CTL-114", "not an address with a port");
     };
@@ -207,15 +215,17 @@
     match api.send_request(CHANGE_TIMEOUT, request).await {
         Some(DepartureResponse::Answered(Departure::Recorded)) => json_body(StatusCode::OK, "{}"),
         Some(DepartureResponse::Answered(Departure::StillHere)) => {
-            error_response(StatusCode::CONFLICT, "CTL-112", "the machine votes, or is heard: it isn't gone")
+            error_response(StatusCode::CONFLICT, "CTL-112", "the machine is a voter or still reachable")
         }
         Some(DepartureResponse::Answered(Departure::UnknownMachine)) => {
-            error_response(StatusCode::NOT_FOUND, "CTL-113", "nothing is known of a machine at this address")
+            error_response(StatusCode::NOT_FOUND, "CTL-113", "no machine is known at this address")
         }
         Some(DepartureResponse::Redirect(head)) => {
             redirect(head, api.port, &format!("/v1/machines/{machine}"))
         }
-        Some(DepartureResponse::Unknown) | None => retry_later("no head is known; send it again"),
+        Some(DepartureResponse::Unknown) | None => {
+            retry_later("the head of the chain is not known; send it again")
+        }
     }
 }
 
@@ -223,6 +233,6 @@
 async fn get_status(api: Data<&Api>) -> Response {
     match api.send_request(HEARTBEAT_TIMEOUT, |reply| ApiRequest::Status { reply }).await {
         Some(text) => json_body(StatusCode::OK, text),
-        None => retry_later("too much else to do"),
+        None => retry_later("the process is overloaded; retry"),
     }
 }
--- a/crates/control-plane/src/disk.rs
+++ b/crates/control-plane/src/disk.rs
@@ -1,6 +1,6 @@
-//! The thread that writes to the disk, the only one that blocks on it.
+//! The disk thread, the only one that blocks on disk I/O.
 //!
-//! Records are written in order. Those that wait at the same time are written and synced together.
+//! Records are written in order. Queued appends are written and synced as one batch.
 
 use std::path::Path;
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender, TrySendError};
@@ -15,19 +15,19 @@
 use crate::error::{ControlPlaneError, RecordSnafu, StorageSnafu, ThreadSnafu};
 use crate::event::Event;
 
-/// The most writes that wait; beyond it a write is rejected.
+/// The capacity of the write queue; further writes are rejected.
 const MAX_QUEUED_WRITES: usize = 1_024;
 
-/// How the log is opened.
+/// How to open the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpenMode {
-    /// As it is.
+    /// Opens the existing file.
     InPlace,
-    /// By copying its records, after an attempt that failed; see [`Log::open_by_copy`].
+    /// Copies the records to a new file, after a failed attempt; see [`Log::open_by_copy`].
     ByCopy,
 }
 
-/// A handle to the disk's thread. The thread ends when the handle is dropped.
+/// A handle to the disk thread. The thread ends when the handle is dropped.
 pub struct Disk {
     writes: SyncSender<WriteRequest>,
 }
@@ -84,8 +84,8 @@
     }
 }
 
-/// Merges the appends that wait into one write with one sync. Returns the ids of the merged writes, their records, and a
-/// request that can't be merged.
+/// Merges the queued appends into one write with one sync. Returns the ids of the merged writes, their records, and the
+/// first request that can't be merged.
 fn batch_appends(
     first: u64,
     mut records: Vec<Record>,
@@ -131,13 +131,13 @@
     });
     let result = match rewritten {
         Ok(()) => WriteResult::Rewritten { bytes: log.size() },
-        // The former file stays in force: nothing is lost, and a later rewrite tries again.
+        // The previous file stays in use: no data is lost, and a later rewrite retries.
         Err(error) => WriteResult::RewriteFailed { cause: error.to_string() },
     };
     notify(events, result);
 }
 
 fn notify(events: &Sender<Event>, result: WriteResult) {
-    // The receiver is dropped at shutdown only.
+    // The receiver is dropped only at shutdown.
     let _ended = events.blocking_send(Event::WriteFinished(result));
 }
--- a/crates/control-plane/src/disk_message.rs
+++ b/crates/control-plane/src/disk_message.rs
@@ -1,19 +1,19 @@
-//! What the owner of a process's state asks of the disk's thread, and what it hears of it.
+//! Requests to the disk thread, and their results.
 
 use crankpick_control::Record;
 
-/// A request to the disk's thread.
+/// A request to the disk thread.
 pub enum WriteRequest {
-    /// Append records.
+    /// Appends records.
     Append {
         /// The id of this write, repeated in its result.
         write_id: u64,
         /// The records to append.
         records: Vec<Record>,
     },
-    /// Replace the whole contents.
+    /// Replaces the whole contents.
     Rewrite {
-        /// The records that replace it.
+        /// The new contents.
         records: Vec<Record>,
     },
 }
@@ -40,7 +40,7 @@
         /// The size of the file, in bytes.
         bytes: u64,
     },
-    /// The contents could not be replaced: the former ones stay in force.
+    /// The contents could not be replaced; the previous ones stay in use.
     RewriteFailed {
         /// The cause, for the log.
         cause: String,
--- a/crates/control-plane/src/disk_opening.rs
+++ b/crates/control-plane/src/disk_opening.rs
@@ -1,7 +1,7 @@
 //! Opens the log on disk at the start of a process, with retries.
 //!
-//! A corrupt log is quarantined, and the process joins as a new member. After an I/O error the files are left as they
-//! are: they may be the last replica that the others count on.
+//! A corrupt log is quarantined, and the process joins as a new member. After an I/O error the files are left
+//! untouched: they may be the last replica that the other members depend on.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -21,7 +21,7 @@
 const QUARANTINE_EXTENSION: &str = "unsound";
 /// The interval between attempts to open the log after an I/O error.
 pub const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// After so many attempts the process ends, to be started again by its supervisor.
+/// After this many attempts the process exits, to be restarted by its supervisor.
 const MAX_ATTEMPTS: u32 = 8;
 
 /// Opens the log in `directory` and reads its records, retrying after I/O errors every `retry_interval`.
@@ -50,7 +50,7 @@
         } else if is_corrupt(&error) {
             slog::error!(log, "the disk's file is put aside"; "code" => error.code(), "cause" => %error);
             if let Err(error) = quarantine_files(directory) {
-                warn!(log, "the disk's file can't be put aside yet"; "code" => error.code(), "cause" => %error);
+                warn!(log, "the disk's file can't be quarantined yet"; "code" => error.code(), "cause" => %error);
                 sleep(retry_interval).await;
             }
         } else {
@@ -60,22 +60,22 @@
     Disk::open(directory, mode, events.clone())
 }
 
-/// Whether an operation failed, so that the contents of the disk aren't known.
+/// Whether an I/O operation failed, so that the contents of the disk are unknown.
 fn is_io_error(error: &ControlPlaneError) -> bool {
     matches!(error, ControlPlaneError::Storage { source: StorageError::Io { .. } }) || is_failed_sync(error)
 }
 
-/// Whether a sync failed: the next one may be reported as done although it isn't.
+/// Whether a sync failed: a later sync may report success although the data isn't durable.
 fn is_failed_sync(error: &ControlPlaneError) -> bool {
     matches!(error, ControlPlaneError::Storage { source: StorageError::Sync { .. } })
 }
 
-/// Whether the contents were read and can't be used.
+/// Whether the contents were read but are corrupt.
 fn is_corrupt(error: &ControlPlaneError) -> bool {
     matches!(error, ControlPlaneError::Storage { .. } | ControlPlaneError::Record { .. })
 }
 
-/// A path for a quarantined file that no earlier one has.
+/// An unused path for a quarantined file.
 fn unused_path(name: &Path) -> PathBuf {
     let numbered = |number: u32| name.with_extension(format!("{number}.{QUARANTINE_EXTENSION}"));
     (1..)
@@ -84,7 +84,7 @@
         .unwrap_or_else(|| name.with_extension(QUARANTINE_EXTENSION))
 }
 
-/// Renames all files but those that were put aside before.
+/// Renames all files except those already quarantined.
 fn quarantine_files(directory: &Path) -> Result<(), ControlPlaneError> {
     for entry in std::fs::read_dir(directory).context(QuarantineSnafu { path: directory })? {
         let path = entry.context(QuarantineSnafu { path: directory })?.path();
--- a/crates/control-plane/src/error.rs
+++ b/crates/control-plane/src/error.rs
@@ -1,42 +1,44 @@
-//! The errors that end a process of the control plane.
+//! Errors that terminate a control-plane process.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// An error that ends the process.
+/// An error that terminates the process.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ControlPlaneError {
     /// The log on disk can't be opened.
-    #[snafu(display("CTL-201: {source}; mend or free the disk and start again: what it holds is kept"))]
+    #[snafu(display(
+        "CTL-201: {source}; repair the disk or free space on it and restart; its contents are kept"
+    ))]
     Storage {
         /// The cause.
         source: crankpick_storage::StorageError,
     },
     /// A record on disk can't be decoded by this build.
-    #[snafu(display("CTL-202: a record on disk can't be read: {source}; start the build that wrote it"))]
+    #[snafu(display("CTL-202: a record on disk can't be decoded: {source}; run the build that wrote it"))]
     Record {
         /// The cause.
         source: crankpick_control::RecordError,
     },
-    /// The disk's thread can't be started.
-    #[snafu(display("CTL-203: the disk's thread can't be started: {source}"))]
+    /// The disk thread can't be started.
+    #[snafu(display("CTL-203: can't start the disk thread: {source}"))]
     Thread {
         /// The cause.
         source: std::io::Error,
     },
-    /// An address can't be listened on.
-    #[snafu(display("CTL-204: can't listen on {address}: {source}; is another process there?"))]
+    /// An address can't be bound.
+    #[snafu(display("CTL-204: can't listen on {address}: {source}; is another process using it?"))]
     Listen {
         /// The address.
         address: SocketAddr,
         /// The cause.
         source: std::io::Error,
     },
-    /// A file with unsound records can't be put aside.
-    #[snafu(display("CTL-206: can't put {} aside: {source}; move it away by hand and start again", path.display()))]
+    /// A file with corrupt records can't be quarantined.
+    #[snafu(display("CTL-206: can't quarantine {}: {source}; move it manually and restart", path.display()))]
     Quarantine {
         /// The file, or the directory that can't be read.
         path: PathBuf,
@@ -44,7 +46,7 @@
         source: std::io::Error,
     },
     /// The settings lack a value that this role needs.
-    #[snafu(display("CTL-205: the settings lack {what}"))]
+    #[snafu(display("CTL-205: missing setting: {what}"))]
     Settings {
         /// The name of the missing setting.
         what: &'static str,
--- a/crates/control-plane/src/event.rs
+++ b/crates/control-plane/src/event.rs
@@ -1,4 +1,4 @@
-//! The events that a process of the control plane handles, one at a time, and the messages between its processes.
+//! The events that a control-plane process handles sequentially, and the messages between peers.
 
 use std::net::SocketAddr;
 
@@ -12,20 +12,20 @@
 
 use crate::disk_message::WriteResult;
 
-/// A request to the HTTP API, answered on a channel of its own.
+/// A request to the HTTP API, with a channel for its response.
 pub enum ApiRequest {
     /// Replaces the configuration.
     Put {
-        /// The version that the change builds on.
+        /// The base version of the change.
         if_match: u64,
         /// The request body.
         body: Bytes,
         /// The channel for the response.
         reply: oneshot::Sender<ChangeResponse>,
     },
-    /// Changes named items of the configuration.
+    /// Changes individual items of the configuration.
     Patch {
-        /// The version that the change builds on.
+        /// The base version of the change.
         if_match: u64,
         /// The request body.
         body: Bytes,
@@ -70,7 +70,7 @@
 /// The response to a backend.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HeartbeatResponse {
-    /// The change is known to all processes that must know it.
+    /// The change is recorded by all processes that must have it.
     Acknowledged,
     /// The heartbeat was rejected.
     Rejected(HeartbeatError),
@@ -121,7 +121,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
 
-/// An event for the owner of a process's state.
+/// An event for the task that owns a process's state.
 pub enum Event {
     /// A request came in on the API.
     ApiRequest(ApiRequest),
@@ -155,7 +155,7 @@
     },
     /// A write to the disk has finished.
     WriteFinished(WriteResult),
-    /// The settings name other seeds. Holds their internal addresses.
+    /// The seeds in the settings have changed. Holds the new internal addresses.
     SeedsChanged(Vec<SocketAddr>),
     /// The process was asked to shut down gracefully.
     Terminate,
@@ -181,13 +181,13 @@
         /// The number of the `Announce`.
         number: u64,
     },
-    /// Tells that the sender is up. Sent at intervals.
+    /// Announces that the sender is up. Sent periodically.
     Presence {
         /// The incarnation of the sender.
         process: ProcessId,
         /// The zone of the sender.
         zone: String,
-        /// The peers within the sender's reach, so that those that don't vote discover one another.
+        /// The peers that the sender reaches; lets non-voting processes discover one another.
         peers: Vec<SocketAddr>,
         /// The sender has just started and requests the receiver's full state.
         wants_full_state: bool,
--- a/crates/control-plane/src/host.rs
+++ b/crates/control-plane/src/host.rs
@@ -1,4 +1,4 @@
-//! The single owner of a member's state: handles events one at a time and performs what follows from them.
+//! The task that owns a member's state: handles events sequentially and performs the resulting actions.
 
 mod api_requests;
 mod gateways;
@@ -6,7 +6,7 @@
 mod replication;
 mod timers;
 
-pub(crate) use self::replication::{DISK_REFUSES_CODE, REWRITE_FAILS_CODE};
+pub(crate) use self::replication::{DISK_FAILING_CODE, REWRITE_FAILING_CODE};
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -31,12 +31,12 @@
 
 /// The interval of the timer.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Timeouts of peers and backends, and quota demands, are processed once in so many ticks.
+/// The number of ticks between two rounds of peer and backend timeouts and periodic quota demands.
 const TICKS_PER_SLOW_TICK: u64 = 5;
-/// Presence is sent once in so many slow ticks.
+/// The number of slow ticks between two presence messages.
 const SLOW_TICKS_PER_PRESENCE: u64 = 2;
 
-/// The longest that a graceful shutdown waits for the other members to replace this one.
+/// The timeout of a graceful shutdown, which waits for the other members to replace this one.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The components of a host.
@@ -49,9 +49,9 @@
     pub zone: String,
     /// The replica, restored from disk.
     pub replica: Replica,
-    /// The outputs of the restoration, not yet performed.
+    /// The outputs of restoring the replica, not yet performed.
     pub outputs: Outputs,
-    /// The disk; `None` if state is kept in memory only.
+    /// The disk; `None` if the state is kept in memory only.
     pub disk: Option<Disk>,
     /// The registry of backends.
     pub registry: Registry,
@@ -75,19 +75,19 @@
     tolerance: ToleranceMonitor,
     operator_requests: OperatorRequests,
     sessions: Sessions,
-    /// The processes that gateways may choose for their home: voters and all peers that are up.
+    /// The processes that gateways may connect to as their home: voters and all peers that are up.
     homes: Vec<ControlPlaneMember>,
     leaving_since: Option<Now>,
     current: Option<CurrentConfiguration>,
     log_rewriting: LogRewriting,
-    /// Whether the disk refused the last write.
-    disk_refuses: bool,
+    /// Whether the last write to the disk failed.
+    disk_failing: bool,
     ticks: u64,
     digest_turn: usize,
 }
 
 impl Host {
-    /// A host that measures time from `started`.
+    /// Creates a host that measures time from `started`.
     pub fn new(components: HostComponents, started: Instant) -> Self {
         let connections = PeerConnections::new(components.address);
         let tolerance = ToleranceMonitor::new(components.replica.options().tolerate_nodes);
@@ -104,16 +104,16 @@
             leaving_since: None,
             current: None,
             log_rewriting: LogRewriting::default(),
-            disk_refuses: false,
+            disk_failing: false,
             ticks: 0,
             digest_turn: 0,
         }
     }
 
-    /// Handles events until a graceful shutdown is complete, or all senders are gone.
+    /// Handles events until a graceful shutdown is complete, or all senders are dropped.
     pub async fn run(mut self, mut events: Receiver<Event>) {
         let outputs = std::mem::take(&mut self.components.outputs);
-        self.apply_outputs(outputs);
+        self.perform_outputs(outputs);
         if let Some(entry) = self.components.replica.newest_committed().cloned() {
             self.apply_committed(&entry);
         }
@@ -156,20 +156,20 @@
         self.drive_patches();
     }
 
-    /// Announces that this process leaves. It keeps serving until the others have taken over.
+    /// Starts a graceful shutdown. The process keeps serving until the other members have replaced it.
     fn begin_shutdown(&mut self) {
         info!(self.components.log, "leaving");
         self.leaving_since.get_or_insert(self.started.elapsed());
         self.drive_replica(Input::Shutdown);
     }
 
-    /// Whether the members have replaced this process that leaves, or the shutdown has timed out.
+    /// Whether the other members have replaced this process, or the shutdown has timed out.
     fn is_shutdown_complete(&self) -> bool {
         let Some(since) = self.leaving_since else { return false };
         self.components.replica.has_left() || self.now() >= since + SHUTDOWN_TIMEOUT
     }
 
-    /// Answers what waits, and waits for the last messages to be sent.
+    /// Answers the pending requests, and waits for the last messages to be sent.
     async fn finish_shutdown(mut self) {
         self.operator_requests.fail_all();
         let handed_over = self.components.replica.has_left();
--- a/crates/control-plane/src/host/api_requests.rs
+++ b/crates/control-plane/src/host/api_requests.rs
@@ -1,4 +1,4 @@
-//! Handles requests of the operator and of backends.
+//! Handles API requests from the operator and from backends.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 use crate::quorum::Quorum;
 
 impl Host {
-    /// Handles a request. The response is sent now or later.
+    /// Handles a request. The response may be sent later.
     pub(super) fn handle_api_request(&mut self, request: ApiRequest) {
         let now = self.now();
         match request {
@@ -26,14 +26,14 @@
             }
             ApiRequest::Heartbeat { id, heartbeat, reply } => {
                 let draining = heartbeat.state == HeartbeatState::Draining;
-                let heard = self.components.registry.heartbeat(now, &id, heartbeat);
-                self.answer_heartbeat(&id, heard, draining, reply);
+                let registration = self.components.registry.heartbeat(now, &id, heartbeat);
+                self.answer_heartbeat(&id, registration, draining, reply);
             }
             ApiRequest::Leave { id, reply } => {
-                let heard = self.components.registry.leave(now, &id);
-                self.answer_heartbeat(&id, heard, true, reply);
+                let registration = self.components.registry.leave(now, &id);
+                self.answer_heartbeat(&id, registration, true, reply);
             }
-            ApiRequest::MachineGone { address, reply } => self.declare_gone(address, reply),
+            ApiRequest::MachineGone { address, reply } => self.declare_machine_gone(address, reply),
             ApiRequest::Status { reply } => {
                 let _caller_gone = reply.send(self.status());
             }
@@ -47,7 +47,7 @@
         body: &[u8],
         reply: oneshot::Sender<ChangeResponse>,
     ) {
-        let generation = match check(body) {
+        let generation = match validate(body) {
             Ok(generation) => generation,
             Err(error) => {
                 let _caller_gone = reply.send(ChangeResponse::Invalid(error.to_string()));
@@ -58,7 +58,7 @@
         else {
             return;
         };
-        let command = command(if_match, generation, body);
+        let command = replace_command(if_match, generation, body);
         self.drive_replica(Input::Submit { key, command: command.into() });
     }
 
@@ -71,9 +71,9 @@
         }
     }
 
-    /// Gives an operator's word that a machine is gone to the replica if this process is the head, and sends the operator
-    /// there otherwise: only the head lets commands wait for machines.
-    fn declare_gone(&mut self, address: SocketAddr, reply: oneshot::Sender<DepartureResponse>) {
+    /// Passes the declaration that a machine is gone to the replica if this process is the head of the chain, and
+    /// redirects the operator to the head otherwise: only the head makes commands wait for machines.
+    fn declare_machine_gone(&mut self, address: SocketAddr, reply: oneshot::Sender<DepartureResponse>) {
         let replica = &self.components.replica;
         let Some(head) = replica.view().head().and_then(|id| replica.view().member(id)) else {
             let _caller_gone = reply.send(DepartureResponse::Unknown);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Processes the deferred patches again.
+    /// Retries the deferred patches.
     pub(super) fn drive_patches(&mut self) {
         for pending in self.operator_requests.take_patches() {
             self.drive_patch(pending);
@@ -99,9 +99,8 @@
         let now = self.now();
         match next_patch_action(&pending, now, &self.components.replica, MAX_CONFIGURATION_BYTES) {
             PatchAction::Submit(command) => {
-                let begun =
-                    self.operator_requests.begin_command(now, &self.components.replica, pending.reply);
-                if let Some(key) = begun {
+                let key = self.operator_requests.begin_command(now, &self.components.replica, pending.reply);
+                if let Some(key) = key {
                     self.drive_replica(Input::Submit { key, command: command.into() });
                 }
             }
@@ -112,25 +111,25 @@
         }
     }
 
-    /// Announces the change of a backend to the peers and answers the backend. One that drains or leaves is acknowledged
-    /// once a majority of the members has the change, any other one at once. Without a majority within reach, nothing is
+    /// Announces a backend's change to the peers and answers the backend. Draining and leaving are acknowledged once a
+    /// majority of the members has the change, other changes immediately. Without a reachable majority nothing is
     /// acknowledged, so that the backend retries at another process.
     pub(super) fn answer_heartbeat(
         &mut self,
         id: &str,
-        heard: Result<RegistrationOutcome, HeartbeatError>,
-        ending: bool,
+        registration: Result<RegistrationOutcome, HeartbeatError>,
+        is_departure: bool,
         reply: oneshot::Sender<HeartbeatResponse>,
     ) {
-        let heard = match heard {
-            Ok(heard) => heard,
+        let outcome = match registration {
+            Ok(outcome) => outcome,
             Err(error) => {
                 let _caller_gone = reply.send(HeartbeatResponse::Rejected(error));
                 return;
             }
         };
-        if ending {
-            self.replicate_departure(id, heard.announcement, reply);
+        if is_departure {
+            self.replicate_departure(id, outcome.announcement, reply);
         } else {
             let reaches_majority = self.components.replica.reaches_majority();
             let _caller_gone = reply.send(if reaches_majority {
@@ -138,15 +137,15 @@
             } else {
                 HeartbeatResponse::Unconfirmed
             });
-            self.announce(0, heard.announcement);
+            self.announce(0, outcome.announcement);
         }
-        if heard.changed {
+        if outcome.changed {
             self.push_updates();
         }
     }
 
-    /// Announces that a backend drains or leaves, and answers it once a majority has the change. An unchanged state is
-    /// announced again: an earlier announcement may not have reached a majority.
+    /// Announces that a backend is draining or leaving, and answers it once a majority has the change. An unchanged
+    /// state is announced again, since an earlier announcement may not have reached a majority.
     pub(super) fn replicate_departure(
         &mut self,
         id: &str,
@@ -188,13 +187,13 @@
     }
 }
 
-/// Validates a configuration and returns its version.
-fn check(body: &[u8]) -> Result<u64, ConfigurationError> {
+/// Validates a configuration and returns its generation.
+fn validate(body: &[u8]) -> Result<u64, ConfigurationError> {
     crankpick_configuration::read(body).map(|configuration| configuration.generation)
 }
 
-/// The command that replaces the configuration. Its digest doesn't depend on how the JSON is formatted.
-fn command(if_match: u64, generation: u64, body: &[u8]) -> Command {
+/// The command that replaces the configuration. Its digest doesn't depend on the formatting of the JSON.
+fn replace_command(if_match: u64, generation: u64, body: &[u8]) -> Command {
     let command = Command::new(if_match, generation, body.to_vec());
     match crankpick_configuration::fingerprint(body) {
         Some(digest) => Command { digest, ..command },
--- a/crates/control-plane/src/host/gateways.rs
+++ b/crates/control-plane/src/host/gateways.rs
@@ -1,4 +1,4 @@
-//! Handles the gateways that have this process for their home, and tenants' quotas.
+//! Handles the gateways whose home is this process, and tenants' quotas.
 
 use std::net::SocketAddr;
 
@@ -25,7 +25,7 @@
         self.process_quotas();
     }
 
-    /// Grants what has become available, and requests at once what gateways still need.
+    /// Grants quota that has become available, and immediately requests what gateways still need.
     pub(super) fn process_quotas(&mut self) {
         let now = self.now();
         let grants = self.components.quotas.deferred_grants(now);
@@ -35,21 +35,21 @@
         self.send_demands(urgent);
     }
 
-    /// Handles an owner's answer to demands of this home.
+    /// Handles an owner's answer to demands sent by this home.
     pub(super) fn handle_grants(&mut self, number: u64, grants: Vec<TenantGrant>) {
         let now = self.now();
         let grants = self.components.quotas.grants_received(now, number, grants);
         self.push_grants(grants);
     }
 
-    /// Sends grants to the gateways that wait for them.
+    /// Sends grants to the gateways waiting for them.
     pub(super) fn push_grants(&mut self, grants: Vec<GatewayGrant>) {
         for GatewayGrant { holder, grant } in grants {
             self.with_sessions(|sessions, context| sessions.push_grants(holder, vec![grant], context));
         }
     }
 
-    /// Sends all gateways what they lack.
+    /// Sends each gateway the updates that it is missing.
     pub(super) fn push_updates(&mut self) {
         self.with_sessions(Sessions::push_changes);
     }
@@ -83,8 +83,8 @@
         self.components.quotas.grant_as_owner(now, received, freshness)
     }
 
-    /// Handles another home's demands. One that uses an epoch that is over is refused, and sent the newer view; one whose
-    /// view is newer is asked for it.
+    /// Handles another home's demands. Demands of an older epoch are refused, and the home is sent the newer view. If the
+    /// home's epoch is newer, its view is requested.
     pub(super) fn handle_demands(
         &mut self,
         from: SocketAddr,
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Handles the grants of this process as owner to itself as home: none is no refusal.
+    /// Handles the grants of this process as an owner to itself as a home. Unlike in a message, no grants is no refusal.
     fn handle_own_grants(&mut self, number: u64, grants: Vec<TenantGrant>) {
         if !grants.is_empty() {
             self.handle_grants(number, grants);
--- a/crates/control-plane/src/host/peer_messages.rs
+++ b/crates/control-plane/src/host/peer_messages.rs
@@ -1,4 +1,4 @@
-//! Handles messages of other processes of the control plane: announcements, presence, digests, quota demands.
+//! Handles messages from control-plane peers: announcements, presence, digests and quota demands.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 use crate::pending_announcements::Relay;
 
 impl Host {
-    /// Handles a message of the peer that listens at `from`.
+    /// Handles a message from the peer that listens on `from`.
     pub(super) fn handle_peer_message(&mut self, from: SocketAddr, message: PeerMessage) {
         let now = self.now();
         match message {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Merges announcements of a peer, and acknowledges them if they have a number.
+    /// Merges announcements from a peer, and acknowledges them if their number is not 0.
     pub(super) fn handle_announcements(
         &mut self,
         from: SocketAddr,
@@ -62,8 +62,8 @@
         self.push_updates();
     }
 
-    /// Forwards announcements to peers that the sender can't reach. Other addresses than those of members and of peers
-    /// that are up are ignored.
+    /// Forwards announcements to peers that the sender can't reach. Ignores addresses that belong neither to a home nor to
+    /// a peer that is up.
     pub(super) fn relay_announcements(&mut self, to: &[SocketAddr], announcements: &[Announcement]) {
         let known: BTreeSet<SocketAddr> =
             self.homes.iter().map(|home| home.address).chain(self.peers.up()).collect();
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Records the presence of a peer. One that has come up, or asks for it, is sent the full state.
+    /// Records the presence of a peer. A peer that has just come up or requests it is sent the full state.
     pub(super) fn handle_presence(
         &mut self,
         from: SocketAddr,
@@ -83,9 +83,9 @@
     ) {
         let now = self.now();
         let changes = self.peers.presence_received(now, from, process, zone);
-        let came = changes.iter().any(|change| matches!(change, PeerChange::Up(..)));
+        let came_up = changes.iter().any(|change| matches!(change, PeerChange::Up(..)));
         self.apply_peer_changes(changes);
-        if wants_full_state || came {
+        if wants_full_state || came_up {
             let full_state = self.components.registry.full_state(now);
             self.send_announcements(from, full_state);
             let full_state = self.components.gateways.full_state();
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Sends announcements to one peer, without acknowledgement.
+    /// Sends announcements to one peer without requesting an acknowledgement.
     pub(super) fn send_announcements(&mut self, to: SocketAddr, announcements: Vec<Announcement>) {
         if !announcements.is_empty() {
             self.connections.send(to, &PeerMessage::Announce { number: 0, announcements });
@@ -111,7 +111,7 @@
         self.homes = homes;
     }
 
-    /// Applies changes of liveness of peers to the registry, the gateways, the replica and the homes.
+    /// Applies liveness changes of peers to the registry, the gateway leases, the replica and the homes.
     pub(super) fn apply_peer_changes(&mut self, changes: Vec<PeerChange>) {
         let now = self.now();
         if !changes.is_empty() {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Answers the backends whose announcements are complete, timed out or without a majority.
+    /// Answers the backends whose announcements are complete, have timed out, or can't reach a majority.
     pub(super) fn expire_announcements(&mut self) {
         let now = self.now();
         if !self.components.replica.reaches_majority() {
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Tells all homes, known peers and seeds that this process is up.
+    /// Announces to all homes, known peers and seeds that this process is up.
     pub(super) fn send_presence(&mut self) {
         let own = self.components.address;
         let mut others: Vec<SocketAddr> = self.homes.iter().map(|home| home.address).collect();
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Sends the digest of the registry to one peer, to each in turn.
+    /// Sends the digest of the registry to one peer, round robin.
     pub(super) fn send_digest(&mut self) {
         let peers: Vec<SocketAddr> = self.peers.up().collect();
         if peers.is_empty() {
--- a/crates/control-plane/src/host/replication.rs
+++ b/crates/control-plane/src/host/replication.rs
@@ -13,12 +13,12 @@
 use crate::log_rewriting::RewriteCause;
 use crate::sessions::CurrentConfiguration;
 
-/// The code of a disk that refuses writes, in the log and in the status.
-pub(crate) const DISK_REFUSES_CODE: &str = "CTL-301";
-/// The code of a committed configuration that this build can't read.
+/// The code for failing disk writes, in the log and in the status.
+pub(crate) const DISK_FAILING_CODE: &str = "CTL-301";
+/// The code for a committed configuration that this build can't parse.
 const UNREADABLE_CONFIGURATION_CODE: &str = "CTL-304";
-/// The code of a log that can't be rewritten, in the log and in the status.
-pub(crate) const REWRITE_FAILS_CODE: &str = "CTL-303";
+/// The code for failing log rewrites, in the log and in the status.
+pub(crate) const REWRITE_FAILING_CODE: &str = "CTL-303";
 
 impl Host {
     /// Passes an input to the replica and performs its outputs.
@@ -26,11 +26,11 @@
         let now = self.now();
         let mut outputs = Outputs::new();
         self.components.replica.handle(now, input, &mut outputs);
-        self.apply_outputs(outputs);
+        self.perform_outputs(outputs);
         self.operator_requests.answer_reads(now, &self.components.replica);
     }
 
-    pub(super) fn apply_outputs(&mut self, outputs: Outputs) {
+    pub(super) fn perform_outputs(&mut self, outputs: Outputs) {
         for output in outputs {
             match output {
                 Output::Send { to, message } => self.send_message(to, message),
@@ -46,9 +46,9 @@
         }
     }
 
-    /// Reports a violated invariant, a bug of this program: its later answers may be wrong.
+    /// Reports a violated invariant. It indicates a bug in this program, whose later answers may be wrong.
     fn report_violation(&self, violation: &Violation) {
-        error!(self.components.log, "an invariant of the control state is broken"; "code" => violation.kind.code(),
+        error!(self.components.log, "an invariant of the control state is violated"; "code" => violation.kind.code(),
             "kind" => ?violation.kind, "epoch" => violation.epoch, "entry" => ?violation.entry);
     }
 
@@ -56,7 +56,7 @@
         self.connections.send(to, &PeerMessage::Replica(message));
     }
 
-    /// Queues records to be made durable. The replica is told the result later.
+    /// Queues records to be made durable. The result is passed to the replica later.
     pub(super) fn persist(&mut self, write_id: WriteId, records: Vec<Record>) {
         match &self.components.disk {
             Some(disk) => {
@@ -64,12 +64,12 @@
                     self.drive_replica(Input::WriteFailed(write_id));
                 }
             }
-            // Without a disk the state is in memory only: it is as safe as a majority of the processes.
+            // Without a disk the state is in memory only, and survives as long as a majority of the processes does.
             None => self.drive_replica(Input::Persisted(write_id)),
         }
     }
 
-    /// Tells the replica the result of a write.
+    /// Passes the result of a write to the replica.
     pub(super) fn handle_write_result(&mut self, result: WriteResult) {
         match result {
             WriteResult::Synced { write_id, bytes } => {
@@ -80,30 +80,30 @@
             WriteResult::Failed { write_id, cause } => {
                 self.report_disk(Err(&cause));
                 self.drive_replica(Input::WriteFailed(WriteId(write_id)));
-                self.rewrite_log_if_due(RewriteCause::RefusedWrite);
+                self.rewrite_log_if_due(RewriteCause::FailedWrite);
             }
             WriteResult::Rewritten { bytes } => {
                 if self.log_rewriting.succeed(bytes) {
-                    info!(self.components.log, "the log on disk is rewritten again"; "bytes" => bytes);
+                    info!(self.components.log, "rewriting the log on disk has succeeded again"; "bytes" => bytes);
                 }
             }
             WriteResult::RewriteFailed { cause } => {
                 let now = self.now();
                 if self.log_rewriting.fail(now) {
-                    warn!(self.components.log, "the log on disk can't be rewritten, it is put off";
-                        "code" => REWRITE_FAILS_CODE, "cause" => cause);
+                    warn!(self.components.log, "the log on disk can't be rewritten, will retry later";
+                        "code" => REWRITE_FAILING_CODE, "cause" => cause);
                 }
             }
         }
     }
 
-    /// Logs when the disk begins to refuse writes, and when it takes them again.
+    /// Logs when disk writes start to fail, and when they succeed again.
     fn report_disk(&mut self, written: Result<(), &str>) {
-        let refused = std::mem::replace(&mut self.disk_refuses, written.is_err());
+        let was_failing = std::mem::replace(&mut self.disk_failing, written.is_err());
         match written {
-            Ok(()) if refused => info!(self.components.log, "the disk takes writes again"),
-            Err(cause) if !refused => {
-                warn!(self.components.log, "the disk refuses writes"; "code" => DISK_REFUSES_CODE, "cause" => cause);
+            Ok(()) if was_failing => info!(self.components.log, "the disk takes writes again"),
+            Err(cause) if !was_failing => {
+                warn!(self.components.log, "the disk refuses writes"; "code" => DISK_FAILING_CODE, "cause" => cause);
             }
             _ => {}
         }
@@ -120,14 +120,14 @@
         }
     }
 
-    /// Puts a committed configuration into force.
+    /// Activates a committed configuration.
     pub(super) fn apply_committed(&mut self, entry: &Entry) {
         let version =
             ConfigurationVersion { position: entry.id.position, generation: entry.command.generation };
         match crankpick_configuration::read(&entry.command.bytes) {
             Ok(configuration) => self.components.quotas.configure(&RoutingTable::compile(&configuration)),
             Err(error) => {
-                error!(self.components.log, "a committed configuration can't be read: quotas stay as they were";
+                error!(self.components.log, "a committed configuration can't be read, keeping the previous quotas";
                     "code" => UNREADABLE_CONFIGURATION_CODE, "cause" => %error)
             }
         }
@@ -136,7 +136,7 @@
         self.push_updates();
     }
 
-    /// Applies a new view to homes and quotas.
+    /// Applies a new view to the homes and the quotas.
     pub(super) fn apply_view(&mut self, view: &View) {
         let chain: Vec<String> = view
             .chain
--- a/crates/control-plane/src/host/timers.rs
+++ b/crates/control-plane/src/host/timers.rs
@@ -1,4 +1,4 @@
-//! Handles the timer.
+//! Handles timer ticks.
 
 use std::time::Duration;
 
@@ -7,9 +7,9 @@
 use slog::{info, warn};
 
 use super::{Host, SLOW_TICKS_PER_PRESENCE, TICKS_PER_SLOW_TICK};
-use crate::fault_tolerance::{bearable_losses, ToleranceChange, LOW_TOLERANCE_CODE};
+use crate::fault_tolerance::{tolerable_losses, ToleranceChange, LOW_TOLERANCE_CODE};
 
-/// A digest is sent once in so many slow ticks.
+/// The number of slow ticks between two digests.
 const SLOW_TICKS_PER_DIGEST: u64 = 4;
 /// A process whose freshness exceeds this counts as isolated from the majority.
 const ISOLATION_THRESHOLD: Duration = Duration::from_millis(1_000);
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Called once in several ticks, with a number that rises by 1.
+    /// Called every `TICKS_PER_SLOW_TICK` ticks, with a number that rises by 1.
     pub(super) fn slow_tick(&mut self, turn: u64) {
         let now = self.now();
         let isolated = self.components.replica.freshness(now).is_none_or(|age| age > ISOLATION_THRESHOLD);
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Brings the owned quotas up to date, and sends this home's periodic demands.
+    /// Updates the owned quotas, and sends this home's periodic demands.
     fn refresh_quotas(&mut self) {
         let now = self.now();
         let others: Vec<ProcessId> = self.peers.processes().collect();
@@ -70,18 +70,18 @@
         self.send_demands(demands);
     }
 
-    /// Reports when fewer losses than required can be tolerated, and when that has ended.
+    /// Reports when the fault tolerance falls below the required level, and when it is restored.
     pub(super) fn check_fault_tolerance(&mut self) {
-        let Some(bearable) = bearable_losses(&self.components.replica) else { return };
+        let Some(tolerable) = tolerable_losses(&self.components.replica) else { return };
         let required = self.tolerance.required();
-        match self.tolerance.observe(self.now(), bearable) {
-            Some(ToleranceChange::Low { bearable }) => {
+        match self.tolerance.observe(self.now(), tolerable) {
+            Some(ToleranceChange::Low { tolerable }) => {
                 warn!(self.components.log, "the core bears fewer losses than are asked for"; "code" => LOW_TOLERANCE_CODE,
-                    "bearable" => bearable, "asked" => required);
+                    "bearable" => tolerable, "asked" => required);
             }
-            Some(ToleranceChange::Sufficient { bearable }) => {
+            Some(ToleranceChange::Sufficient { tolerable }) => {
                 info!(self.components.log, "the core bears as many losses as are asked for";
-                    "bearable" => bearable, "asked" => required);
+                    "bearable" => tolerable, "asked" => required);
             }
             None => {}
         }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,4 +1,7 @@
-//! A process of the control plane: the HTTP API, the disk, and the connections to peers and gateways.
+//! A control-plane process: the HTTP API, the disk, and the connections to peers and gateways.
+//!
+//! The processes that are candidates for membership form the core; they replicate the configuration along a chain. Other
+//! processes redirect callers to a member.
 
 mod api;
 mod disk;
--- a/crates/control-plane/src/listener.rs
+++ b/crates/control-plane/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections from other processes of the fleet: peers, gateways and observers.
+//! Accepts connections from the other processes of the fleet: peers, gateways and observers.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -18,13 +18,13 @@
 
 use crate::event::{Event, PeerMessage, SessionId};
 
-/// The most connections at a time.
+/// The maximum number of concurrent connections.
 const MAX_CONNECTIONS: usize = 2_000;
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 const USER_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Gateways report several times a second; a connection without a report for so long is closed.
+/// A connection without a report for this long is closed; gateways report several times a second.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
-/// The most updates that wait for a gateway; beyond it the connection is closed, and the gateway reconnects.
+/// The capacity of a gateway's update queue; if it overflows, the connection is closed and the gateway reconnects.
 const MAX_QUEUED_UPDATES: usize = 16;
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
--- a/crates/control-plane/src/log_rewriting.rs
+++ b/crates/control-plane/src/log_rewriting.rs
@@ -1,17 +1,17 @@
-//! Decides when the log on disk is rewritten: when it has grown long, or when the disk refuses a write, since a rewrite may
-//! free room. A rewrite that fails is put off.
+//! Decides when to rewrite the log on disk: when it has grown large, or when a write fails, since a rewrite may free
+//! space. A failed rewrite is retried after a delay.
 
 use std::time::Duration;
 
 use crankpick_control::Now;
 
-/// The log is rewritten when it has grown by this factor since the last rewrite.
+/// The growth factor since the last rewrite that triggers the next one.
 const REWRITE_RATIO: u64 = 4;
-/// A shorter log isn't rewritten. In bytes.
+/// A smaller log isn't rewritten. In bytes.
 const MIN_REWRITE_BYTES: u64 = 2 << 20;
-/// A longer log is rewritten whatever its growth, if it has at least doubled. In bytes.
+/// A log of this size or more, in bytes, is rewritten once it has more than doubled, whatever `REWRITE_RATIO` says.
 const MAX_REWRITE_BYTES: u64 = 8 << 20;
-/// A rewrite that failed is tried again after this time at the earliest: each try writes the whole state.
+/// The minimum delay before a failed rewrite is retried, since each attempt writes the whole state.
 const RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Why the log may have to be rewritten.
@@ -19,11 +19,11 @@
 pub enum RewriteCause {
     /// The log has this many bytes.
     Length(u64),
-    /// The disk refused a write.
-    RefusedWrite,
+    /// A write to the disk failed.
+    FailedWrite,
 }
 
-/// The rewrites of the log.
+/// The state of log rewriting.
 #[derive(Clone, Debug, Default)]
 pub struct LogRewriting {
     in_progress: bool,
@@ -34,13 +34,13 @@
 }
 
 impl LogRewriting {
-    /// Whether the log is to be rewritten now.
+    /// Whether the log should be rewritten now.
     pub fn is_due(&self, now: Now, cause: RewriteCause) -> bool {
         if self.in_progress || now < self.postponed_until {
             return false;
         }
         match cause {
-            RewriteCause::RefusedWrite => true,
+            RewriteCause::FailedWrite => true,
             RewriteCause::Length(bytes) => {
                 let threshold =
                     (self.rewritten_bytes * REWRITE_RATIO).clamp(MIN_REWRITE_BYTES, MAX_REWRITE_BYTES);
@@ -49,12 +49,12 @@
         }
     }
 
-    /// A rewrite was handed to the disk.
+    /// Records that a rewrite was queued at the disk thread.
     pub fn begin(&mut self) {
         self.in_progress = true;
     }
 
-    /// The rewrite has ended with a log of this many bytes. Returns whether earlier ones had failed.
+    /// Records that the rewrite succeeded, with a log of this many bytes. Returns whether the previous rewrite had failed.
     pub fn succeed(&mut self, bytes: u64) -> bool {
         self.in_progress = false;
         self.rewritten_bytes = bytes;
@@ -62,7 +62,7 @@
         std::mem::take(&mut self.failing)
     }
 
-    /// The rewrite has failed. Returns whether it is the first one in a row.
+    /// Records that the rewrite failed. Returns whether it is the first consecutive failure.
     pub fn fail(&mut self, now: Now) -> bool {
         self.in_progress = false;
         self.postponed_until = now + RETRY_INTERVAL;
--- a/crates/control-plane/src/member_search.rs
+++ b/crates/control-plane/src/member_search.rs
@@ -1,7 +1,7 @@
-//! Discovery of the members by a process that is no candidate for membership: it polls one of them for the view.
+//! Member discovery for a process that is not a candidate for membership: it polls a member for the view.
 //!
-//! Free of I/O: callers pass in the time and what was received, and send the requests. One request is in flight at a
-//! time, so each such process sends at most one per [`RESPONSE_TIMEOUT`] while nobody answers, and one per
+//! Performs no I/O: callers pass in the time and the received messages, and send the requests. At most one request is in
+//! flight, so each such process sends at most one per [`RESPONSE_TIMEOUT`] while there is no response, and one per
 //! [`POLL_INTERVAL`] otherwise.
 
 use std::net::SocketAddr;
@@ -9,11 +9,11 @@
 
 use crankpick_control::{Member, Now, View};
 
-/// The interval between requests to a member that answers.
+/// The interval between requests to a responding member.
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
-/// The most discovered processes that are remembered.
+/// The maximum number of discovered processes to remember.
 const MAX_DISCOVERED: usize = 16;
-/// After it a request counts as failed, and another process is asked.
+/// After this time a request has failed, and another process is polled.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// A request in flight.
@@ -29,20 +29,20 @@
     zone: String,
     local_address: SocketAddr,
     seeds: Vec<SocketAddr>,
-    /// Processes of the core that sent a message, the latest last.
+    /// Processes of the core that sent a message, the most recently discovered last.
     discovered: Vec<SocketAddr>,
     view: View,
     reachable_member: Option<SocketAddr>,
     request: Option<ViewRequest>,
     next_request_at: Now,
-    /// Random: it spreads such processes over the members.
+    /// A random offset into the candidate lists, to spread processes over the members.
     rotation: usize,
     /// Consecutive failed requests.
     failures: usize,
 }
 
 impl MemberSearch {
-    /// A search that knows only the seeds. `rotation` should be random, to spread processes over the members.
+    /// Creates a search that knows only the seeds. `rotation` should be random, to spread processes over the members.
     pub fn new(
         now: Now,
         local_address: SocketAddr,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The newest known view; epoch 0 while none is known.
+    /// The newest known view, with epoch 0 while none is known.
     pub fn view(&self) -> &View {
         &self.view
     }
@@ -79,7 +79,7 @@
         self.seeds = seeds;
     }
 
-    /// Records that a process of the core sent a message. It is asked at once if no other is known to answer.
+    /// Records that a process of the core sent a message. It becomes a candidate immediately if no view is known yet.
     pub fn peer_discovered(&mut self, now: Now, from: SocketAddr) {
         if self.discovered.contains(&from) {
             return;
@@ -115,8 +115,8 @@
         self.request.map_or(self.next_request_at, |request| request.since + RESPONSE_TIMEOUT)
     }
 
-    /// Records a view received from `from`. A process that is no member may send one too, but callers aren't redirected
-    /// there.
+    /// Records a view received from `from`. A process that is not a member may send one too, but callers aren't redirected
+    /// to it.
     pub fn view_received(&mut self, now: Now, from: SocketAddr, view: View) {
         if view.epoch > self.view.epoch {
             self.view = view;
@@ -140,8 +140,8 @@
         self.view.members.iter().any(|member| member.address == address)
     }
 
-    /// The process to ask while none is known to answer, in turn: members of the local zone, other members, discovered
-    /// processes, seeds.
+    /// The next process to poll while no member is known to respond. Cycles through the members of the local zone, the
+    /// other members, discovered processes and seeds.
     fn candidate(&self) -> Option<SocketAddr> {
         let (same_zone, other_zones): (Vec<&Member>, Vec<&Member>) =
             self.view.members.iter().partition(|member| member.zone == self.zone);
--- a/crates/control-plane/src/operator_requests.rs
+++ b/crates/control-plane/src/operator_requests.rs
@@ -1,4 +1,4 @@
-//! The operator's requests that wait for their response.
+//! Pending requests from the operator.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,17 +11,17 @@
 
 use crate::event::{ChangeResponse, DepartureResponse, GetResponse};
 
-/// A read that can't be answered by then fails: callers move on to another process after a second.
+/// The timeout of reads, below the one second after which callers try another process.
 const READ_TIMEOUT: Duration = Duration::from_millis(900);
-/// A command fails after it if no majority is reachable: well before its caller's timeout of a second.
+/// The timeout of commands while no majority is reachable, well below the caller's timeout of one second.
 const ISOLATED_COMMAND_TIMEOUT: Duration = Duration::from_millis(400);
-/// The most commands in flight.
+/// The maximum number of commands in flight.
 const MAX_COMMANDS: usize = 256;
-/// The most reads in flight.
+/// The maximum number of reads in flight.
 const MAX_READS: usize = 256;
-/// The most declarations that machines are gone, in flight.
+/// The maximum number of pending declarations that a machine is gone.
 const MAX_DEPARTURES: usize = 32;
-/// The most patches that wait for their base.
+/// The maximum number of patches waiting for their base version.
 const MAX_DEFERRED_PATCHES: usize = 32;
 
 /// The operator's requests in flight.
@@ -38,7 +38,7 @@
 pub struct PendingPatch {
     /// When the request was received.
     pub since: Now,
-    /// The version that it builds on.
+    /// The base version of the change.
     pub if_match: u64,
     /// The decoded patch.
     pub patch: Patch,
@@ -46,13 +46,13 @@
     pub reply: oneshot::Sender<ChangeResponse>,
 }
 
-/// What to do with a patch, given the newest configuration that is known to be committed.
+/// What to do with a patch, given the newest known committed configuration.
 pub enum PatchAction {
     /// Submit this command.
     Submit(Command),
     /// Respond now.
     Answer(ChangeResponse),
-    /// Wait: the base may still be committed here.
+    /// Wait: the base version may still be committed here.
     Wait,
 }
 
@@ -67,8 +67,8 @@
 }
 
 impl OperatorRequests {
-    /// Registers a command, to be submitted to the replica under the returned key. Returns `None` if it was answered at
-    /// once: too many are in flight, or no process that could commit it is reachable.
+    /// Registers a command, to be submitted to the replica under the returned key. Returns `None` if it was answered
+    /// immediately: too many are in flight, or no process that could commit it is reachable.
     pub fn begin_command(
         &mut self,
         now: Now,
@@ -86,10 +86,10 @@
         Some(key)
     }
 
-    /// Registers an operator's word that a machine is gone, to be given to the replica under the returned key. `None` if too
-    /// many wait.
+    /// Registers a declaration that a machine is gone, to be passed to the replica under the returned key. Returns `None`
+    /// if too many are pending.
     pub fn begin_departure(&mut self, reply: oneshot::Sender<DepartureResponse>) -> Option<CommandId> {
-        self.departures.retain(|_, waiting| !waiting.is_closed());
+        self.departures.retain(|_, reply| !reply.is_closed());
         if self.departures.len() >= MAX_DEPARTURES {
             let _caller_gone = reply.send(DepartureResponse::Unknown);
             return None;
@@ -100,22 +100,22 @@
         Some(key)
     }
 
-    /// Answers an operator's word that a machine is gone.
+    /// Answers a declaration that a machine is gone.
     pub fn finish_departure(&mut self, key: CommandId, departure: Departure) {
         if let Some(reply) = self.departures.remove(&key) {
             let _caller_gone = reply.send(DepartureResponse::Answered(departure));
         }
     }
 
-    /// Fails the commands that can't be answered for lack of a majority. They may still be committed.
+    /// Fails commands that can't complete because no majority is reachable. They may still be committed.
     pub fn expire_commands(&mut self, now: Now, replica: &Replica) {
         if self.commands.is_empty() || replica.view().epoch == 0 || replica.reaches_majority() {
             return;
         }
-        let is_late = |command: &PendingCommand| now >= command.since + ISOLATED_COMMAND_TIMEOUT;
-        let late: Vec<CommandId> =
-            self.commands.iter().filter(|(_, command)| is_late(command)).map(|(key, _)| *key).collect();
-        for key in late {
+        let has_timed_out = |command: &PendingCommand| now >= command.since + ISOLATED_COMMAND_TIMEOUT;
+        let timed_out: Vec<CommandId> =
+            self.commands.iter().filter(|(_, command)| has_timed_out(command)).map(|(key, _)| *key).collect();
+        for key in timed_out {
             self.finish_command(key, Outcome::Unknown);
         }
     }
@@ -134,7 +134,7 @@
         let _caller_gone = command.reply.send(answer);
     }
 
-    /// Answers all that waits, as unknown: this process ends.
+    /// Answers all pending requests with an unknown outcome, because the process is shutting down.
     pub fn fail_all(&mut self) {
         for (_, command) in std::mem::take(&mut self.commands) {
             let _caller_gone = command.reply.send(ChangeResponse::Unknown);
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Keeps a patch until its base is known here; fails it if too many wait.
+    /// Keeps a patch until its base version is known here; fails it if too many are waiting.
     pub fn defer_patch(&mut self, pending: PendingPatch) {
         if self.patches.len() >= MAX_DEFERRED_PATCHES {
             let _caller_gone = pending.reply.send(ChangeResponse::Unknown);
@@ -159,12 +159,12 @@
         self.patches.push(pending);
     }
 
-    /// Takes out the deferred patches, to be processed again.
+    /// Removes and returns the deferred patches, to be processed again.
     pub fn take_patches(&mut self) -> Vec<PendingPatch> {
         std::mem::take(&mut self.patches)
     }
 
-    /// Registers a read. It is answered once this replica is known to have all that was acknowledged before the read.
+    /// Registers a read. It is answered once this replica is known to have everything acknowledged before the read.
     pub fn begin_read(&mut self, now: Now, reply: oneshot::Sender<GetResponse>) {
         if self.reads.len() >= MAX_READS {
             let _caller_gone = reply.send(GetResponse::Unknown);
@@ -173,7 +173,7 @@
         self.reads.push(PendingRead { since: now, reply });
     }
 
-    /// Answers the reads that can be answered by now, and fails those that timed out.
+    /// Answers the reads that can be answered now, and fails those that have timed out.
     pub fn answer_reads(&mut self, now: Now, replica: &Replica) {
         if self.reads.is_empty() {
             return;
@@ -181,9 +181,9 @@
         let fresh_as_of = replica.freshness(now).map(|age| now.saturating_sub(age));
         let immediate_refusal = immediate_refusal(replica);
         for read in std::mem::take(&mut self.reads) {
-            let known = fresh_as_of.is_some_and(|moment| moment >= read.since);
-            let answer = if known {
-                newest(replica.newest_committed())
+            let is_fresh = fresh_as_of.is_some_and(|as_of| as_of >= read.since);
+            let answer = if is_fresh {
+                read_response(replica.newest_committed())
             } else if let Some(answer) = &immediate_refusal {
                 answer.clone()
             } else if now.saturating_sub(read.since) >= READ_TIMEOUT {
@@ -199,9 +199,9 @@
 
 /// Decides what to do with a patch; a result longer than `max_bytes` is invalid.
 ///
-/// A committed version is the same configuration at every replica, so the result of a patch is the same everywhere, and
-/// a patch that doesn't apply can never be committed. If the base is no longer the newest version, the head is asked
-/// whether the patch was committed.
+/// A committed version is the same configuration on every replica, so applying a patch gives the same result everywhere,
+/// and a patch that doesn't apply can never be committed. If the base is no longer the newest version, an inquiry is
+/// submitted, and the head decides whether the patch was committed.
 pub fn next_patch_action(
     pending: &PendingPatch,
     now: Now,
@@ -218,7 +218,10 @@
     if let Some(base) = newest.filter(|_| generation == if_match) {
         return match patch.apply(&base.command.bytes) {
             Ok(bytes) if bytes.len() > max_bytes => {
-                let text = format!("the configuration would have {} bytes, over {max_bytes}", bytes.len());
+                let text = format!(
+                    "the patched configuration would have {} bytes, more than {max_bytes}",
+                    bytes.len()
+                );
                 PatchAction::Answer(ChangeResponse::Invalid(text))
             }
             Ok(bytes) => {
@@ -237,23 +240,23 @@
     }
 }
 
-fn newest(entry: Option<&Arc<Entry>>) -> GetResponse {
+fn read_response(entry: Option<&Arc<Entry>>) -> GetResponse {
     match entry {
         Some(entry) => GetResponse::Document(Bytes::copy_from_slice(&entry.command.bytes)),
         None => GetResponse::NotFound,
     }
 }
 
-/// Whether no process that could commit a command is reachable: neither a majority of the members nor another member
-/// that is the head of the chain. False while no view is known.
+/// Whether no process that could commit a command is reachable: neither a majority of the members nor another member that
+/// is the head of the chain. False while no view is known.
 fn is_isolated_from_head(replica: &Replica) -> bool {
     let view = replica.view();
-    let head_reached = view.head().is_some_and(|head| head != replica.id() && replica.reaches(head));
-    view.epoch > 0 && !replica.reaches_majority() && !head_reached
+    let reaches_head = view.head().is_some_and(|head| head != replica.id() && replica.reaches(head));
+    view.epoch > 0 && !replica.reaches_majority() && !reaches_head
 }
 
-/// The immediate response to a read that this replica can't answer; `None` if it may become able to. Without a majority
-/// it never is, and outside the chain it redirects readers to a replica that it reaches, the tail first.
+/// The immediate response to a read that this replica can't answer, or `None` if it may become able to. Without a majority
+/// the response is unknown. Outside the chain, readers are redirected to a reachable replica, preferring the tail.
 fn immediate_refusal(replica: &Replica) -> Option<GetResponse> {
     if !replica.reaches_majority() {
         return Some(GetResponse::Unknown);
--- a/crates/control-plane/src/peer_connections.rs
+++ b/crates/control-plane/src/peer_connections.rs
@@ -1,8 +1,8 @@
-//! Outgoing connections to the other processes of the control plane.
+//! Outgoing connections to the other control-plane processes.
 //!
-//! Each direction has connections of its own, opened by the sender: one for small messages and one for large ones, so
-//! that heartbeats don't wait behind a configuration on a slow link. Messages may be lost with a connection; senders
-//! repeat what must arrive.
+//! Each direction uses separate connections, opened by the sender: one for small and one for large messages, so that
+//! heartbeats aren't delayed behind a configuration on a slow link. Messages may be lost with a connection; senders retry
+//! what must arrive.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,9 +17,9 @@
 use crate::event::PeerMessage;
 use crate::random_ids::random_id;
 
-/// Frames above this size, in bytes, go over the connection for large ones.
+/// Frames above this size, in bytes, use the connection for large messages.
 const LARGE_FRAME_BYTES: usize = 16 << 10;
-/// The most frames that wait for a peer; beyond it the connection is closed and they are dropped.
+/// The capacity of a connection's send queue; if it overflows, the connection is closed and the queued frames are dropped.
 const MAX_QUEUED_FRAMES: usize = 512;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -28,7 +28,7 @@
 /// The delay before reconnecting, drawn at random. Each process has one sender per peer, so a peer sees one attempt per
 /// 60 ms on average from each of the few other processes of the control plane.
 const RECONNECT_DELAY_MS: std::ops::Range<u64> = 40..80;
-/// A connection without messages for so long is closed.
+/// A connection without messages for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The connections of this process to its peers, opened when first used.
@@ -46,7 +46,7 @@
 }
 
 impl PeerConnections {
-    /// Opens nothing yet. `local_address` is the address on which peers reach this process.
+    /// Opens no connections yet. `local_address` is the address on which peers reach this process.
     pub fn new(local_address: SocketAddr) -> Self {
         let from = match local_address.ip() {
             std::net::IpAddr::V4(ip) => ip,
@@ -67,7 +67,7 @@
         if connection.try_send(frame.clone()).is_ok() {
             return;
         }
-        // Closed or full: a new connection starts with the newest message.
+        // Closed or full: replace the connection, starting with the newest message.
         let connection = open_connection(self.local_address, to, self.dial_options);
         let _lost = connection.try_send(frame);
         self.open.insert((to, lane), connection);
@@ -93,7 +93,7 @@
             return;
         }
         sleep(Duration::from_millis(rng.u64(RECONNECT_DELAY_MS))).await;
-        // Messages queued for a connection that failed are stale by now.
+        // Messages queued for the failed connection are stale.
         while queue.try_recv().is_ok() {}
     }
 }
--- a/crates/control-plane/src/peers.rs
+++ b/crates/control-plane/src/peers.rs
@@ -8,14 +8,14 @@
 use crankpick_protocol::ControlPlaneMember;
 use crankpick_registry::{Now, ProcessId};
 
-/// A peer that sent no presence for so long is down.
+/// A peer that has sent no presence for this long is down.
 const PRESENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A peer that no other peer mentions for so long is forgotten.
+/// A peer that no other peer has mentioned for this long is forgotten.
 const MENTION_TTL: Duration = Duration::from_secs(3);
-/// The most peers known at a time.
+/// The maximum number of known peers.
 const MAX_PEERS: usize = 256;
 
-/// A member of the view, as it is sent to gateways.
+/// The form in which a member of the view is sent to gateways.
 pub fn home_of(member: &Member) -> ControlPlaneMember {
     ControlPlaneMember { address: member.address, zone: member.zone.clone() }
 }
@@ -25,7 +25,7 @@
 pub enum PeerChange {
     /// The peer is up, for the first time in this incarnation or again.
     Up(SocketAddr, ProcessId),
-    /// This incarnation is out of reach, or was replaced by another one.
+    /// This incarnation is unreachable or was replaced by another one.
     Down(ProcessId),
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl Peers {
-    /// Records the presence of a peer, and returns what changes by it.
+    /// Records the presence of a peer, and returns the resulting liveness changes.
     pub fn presence_received(
         &mut self,
         now: Now,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Records the peers that another peer reaches.
+    /// Records the peers that another peer reports as reachable.
     pub fn add_mentions(&mut self, now: Now, addresses: &[SocketAddr]) {
         for address in addresses {
             if self.mentioned_at.len() < MAX_PEERS || self.mentioned_at.contains_key(address) {
@@ -76,12 +76,12 @@
         }
     }
 
-    /// The addresses of peers that other peers reach.
+    /// The addresses of peers that other peers report as reachable.
     pub fn mentions(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.mentioned_at.keys().copied()
     }
 
-    /// Marks the peers that timed out as down.
+    /// Marks peers that have timed out as down.
     pub fn tick(&mut self, now: Now) -> Vec<PeerChange> {
         self.mentioned_at.retain(|_, at| now.saturating_sub(*at) < MENTION_TTL);
         let silent =
@@ -99,7 +99,7 @@
         self.known.iter().filter(|(_, known)| known.up).map(|(address, _)| *address)
     }
 
-    /// The peers that are up, as they are sent to gateways.
+    /// The peers that are up, in the form sent to gateways.
     pub fn homes(&self) -> impl Iterator<Item = ControlPlaneMember> + '_ {
         let up = self.known.iter().filter(|(_, known)| known.up);
         up.map(|(address, known)| ControlPlaneMember { address: *address, zone: known.zone.clone() })
--- a/crates/control-plane/src/pending_announcements.rs
+++ b/crates/control-plane/src/pending_announcements.rs
@@ -1,8 +1,8 @@
-//! Announcements that peers have yet to acknowledge, and the backends whose response waits for it.
+//! Announcements waiting for acknowledgements by peers, and the backends whose responses depend on them.
 //!
-//! A backend that drains or signs off gets its response once a majority of the view's members has acknowledged the
-//! change (`quorum.rs` explains why that is enough) and every reachable peer has acknowledged it or timed out. Peers
-//! that did not acknowledge it are sent the change by those that did. Without a majority there is no acknowledgement.
+//! A backend that drains or leaves gets its response once a majority of the view's members has acknowledged the change
+//! (`quorum.rs` explains why that is sufficient) and every reachable peer has acknowledged it or timed out. Peers that have
+//! acknowledged the change relay it to those that have not. Without a majority the backend gets no acknowledgement.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,26 +14,26 @@
 use crate::event::HeartbeatResponse;
 use crate::quorum::Quorum;
 
-/// How long peers beyond a majority are waited for.
+/// How long to wait for peers beyond a majority.
 const PEER_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long a majority is waited for. Backends time out after a second.
+/// How long to wait for a majority, below the one second after which backends time out.
 const MAJORITY_TIMEOUT: Duration = Duration::from_millis(700);
-/// The most announcements pending at a time.
+/// The maximum number of pending announcements.
 const MAX_PENDING: usize = 4_096;
 
-/// The announcements that wait for acknowledgements, by number.
+/// The announcements waiting for acknowledgements, by number.
 #[derive(Default)]
 pub struct PendingAnnouncements {
     last_number: u64,
     pending: BTreeMap<u64, PendingAnnouncement>,
 }
 
-/// An announcement to be forwarded to peers that can't be reached from here.
+/// An announcement to be forwarded to peers that this process can't reach.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Relay {
-    /// Peers that have it.
+    /// Peers that have the announcement.
     pub via: Vec<SocketAddr>,
-    /// Peers that did not acknowledge it.
+    /// Peers that haven't acknowledged it.
     pub to: Vec<SocketAddr>,
     /// The announcement.
     pub announcement: Announcement,
@@ -49,11 +49,11 @@
 }
 
 impl PendingAnnouncement {
-    /// Whether enough peers have the announcement to acknowledge the backend.
+    /// Whether enough peers have the announcement for the backend to be acknowledged.
     fn is_replicated(&self, now: Now) -> bool {
-        let all = self.peers.is_subset(&self.acknowledged);
-        let waited = now >= self.since + PEER_TIMEOUT;
-        (all || waited) && self.quorum.is_met_by(&self.acknowledged)
+        let has_all = self.peers.is_subset(&self.acknowledged);
+        let peers_timed_out = now >= self.since + PEER_TIMEOUT;
+        (has_all || peers_timed_out) && self.quorum.is_met_by(&self.acknowledged)
     }
 
     fn has_timed_out(&self, now: Now) -> bool {
@@ -74,8 +74,8 @@
 }
 
 impl PendingAnnouncements {
-    /// Registers an announcement that a majority of `quorum` and the reachable peers must have before `reply` is sent.
-    /// Returns the number under which it must be sent to them. If too many are pending, `reply` is answered at once.
+    /// Registers an announcement that a majority of `quorum` and the reachable peers must acknowledge before `reply` is
+    /// sent. Returns the number to send it under. If too many are pending, `reply` is answered immediately.
     pub fn add(
         &mut self,
         now: Now,
@@ -96,7 +96,7 @@
         self.last_number
     }
 
-    /// Records an acknowledgement. Returns the relay to request if the announcement is complete and peers lack it.
+    /// Records an acknowledgement. Returns the relay to request if the announcement is complete and some peers lack it.
     pub fn acknowledged(&mut self, now: Now, number: u64, peer: SocketAddr) -> Option<Relay> {
         let pending = self.pending.get_mut(&number)?;
         pending.acknowledged.insert(peer);
@@ -106,7 +106,8 @@
         self.pending.remove(&number)?.acknowledge()
     }
 
-    /// Answers the backends whose wait is over. Returns the relays to request for peers that did not acknowledge.
+    /// Answers the backends whose announcements are replicated or have timed out. Returns the relays to request for peers
+    /// that haven't acknowledged.
     pub fn expire(&mut self, now: Now) -> Vec<Relay> {
         let is_finished =
             |pending: &PendingAnnouncement| pending.is_replicated(now) || pending.has_timed_out(now);
--- a/crates/control-plane/src/quorum.rs
+++ b/crates/control-plane/src/quorum.rs
@@ -5,12 +5,13 @@
 
 use crankpick_control::{MemberId, View};
 
-/// The members of a view of which a majority must acknowledge.
+/// The members of a view, a majority of which must acknowledge a change.
 ///
-/// A process that serves as a home is in contact with a majority of the members, or its gateways leave it. Two
-/// majorities of one view share a member, so each such home receives what a majority has acknowledged from that member:
-/// at once by a relay, and at the latest by the next digest. A view that replaces several voters at once may leave none
-/// of that majority in a majority of its own; the replaced ones still run as homes then, and inform their peers.
+/// A process that serves as a home is in contact with a majority of the members, or its gateways switch to another home.
+/// Two majorities of one view have a member in common, so each home receives every change acknowledged by a majority from
+/// that member: immediately by a relay, or at the latest with the next digest. A view that replaces several voters at once
+/// may have a majority without any member of the acknowledging one; the replaced voters then still run as homes and
+/// inform their peers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Quorum {
     others: BTreeSet<SocketAddr>,
@@ -32,13 +33,13 @@
         })
     }
 
-    /// Whether those that acknowledged are a majority, counting this process if it is a member.
+    /// Whether the processes in `acknowledged` form a majority, counting this process if it is a member.
     pub fn is_met_by(&self, acknowledged: &BTreeSet<SocketAddr>) -> bool {
         let members = self.others.intersection(acknowledged).count();
         members + usize::from(self.counts_itself) >= self.majority
     }
 
-    /// The other members that did not acknowledge.
+    /// The other members that haven't acknowledged.
     pub fn unacknowledged<'a>(
         &'a self,
         acknowledged: &'a BTreeSet<SocketAddr>,
--- a/crates/control-plane/src/status.rs
+++ b/crates/control-plane/src/status.rs
@@ -8,8 +8,8 @@
 use crankpick_registry::Registry;
 use serde::Serialize;
 
-use crate::fault_tolerance::{bearable_losses, LOW_TOLERANCE_CODE};
-use crate::host::{DISK_REFUSES_CODE, REWRITE_FAILS_CODE};
+use crate::fault_tolerance::{tolerable_losses, LOW_TOLERANCE_CODE};
+use crate::host::{DISK_FAILING_CODE, REWRITE_FAILING_CODE};
 use crate::quotas::RefusedEpochs;
 
 /// The inputs of a status.
@@ -47,11 +47,11 @@
 impl StatusInputs<'_> {
     /// The codes of what is wrong with this process.
     fn warnings(&self) -> Vec<&'static str> {
-        let is_low = bearable_losses(self.replica).is_none_or(|bearable| bearable < self.tolerated_losses);
+        let is_low = tolerable_losses(self.replica).is_none_or(|tolerable| tolerable < self.tolerated_losses);
         let conditions = [
-            (self.disk_healthy == Some(false), DISK_REFUSES_CODE),
+            (self.disk_healthy == Some(false), DISK_FAILING_CODE),
             (is_low, LOW_TOLERANCE_CODE),
-            (self.rewrite_failing, REWRITE_FAILS_CODE),
+            (self.rewrite_failing, REWRITE_FAILING_CODE),
         ];
         conditions.into_iter().filter(|(holds, _)| *holds).map(|(_, code)| code).collect()
     }
@@ -142,7 +142,7 @@
         tenants_owned: inputs.tenants_owned,
         peers_up: inputs.peers_up,
         tolerated_losses: inputs.tolerated_losses,
-        bearable_losses: bearable_losses(inputs.replica),
+        bearable_losses: tolerable_losses(inputs.replica),
         disk_healthy: inputs.disk_healthy,
         refused_epochs: RefusedEpochsStatus {
             messages_here: inputs.replica.stale_epochs_refused(),
--- a/crates/control-plane/tests/unit/disk_opening.rs
+++ b/crates/control-plane/tests/unit/disk_opening.rs
@@ -59,7 +59,7 @@
     let refused = folder.open();
     assert!(matches!(&refused, Err(ControlPlaneError::Storage { .. })), "{refused:?}");
     let advice = refused.map_err(|error| error.to_string()).unwrap_err();
-    assert!(advice.contains("what it holds is kept") && !advice.contains("empty the folder"), "{advice}");
+    assert!(advice.contains("its contents are kept") && !advice.contains("empty the folder"), "{advice}");
     assert_eq!(folder.names(), before);
     fs::remove_dir(folder.0.join("records-2")).unwrap();
     assert_eq!(folder.open().unwrap(), [identity()]);
--- a/crates/control-plane/tests/unit/fault_tolerance.rs
+++ b/crates/control-plane/tests/unit/fault_tolerance.rs
@@ -13,9 +13,9 @@
     let mut monitor = ToleranceMonitor::new(2);
     assert_eq!(monitor.observe(at(0), 1), None);
     assert_eq!(monitor.observe(at(2_999), 1), None);
-    assert_eq!(monitor.observe(at(3_000), 0), Some(ToleranceChange::Low { bearable: 0 }));
+    assert_eq!(monitor.observe(at(3_000), 0), Some(ToleranceChange::Low { tolerable: 0 }));
     assert_eq!(monitor.observe(at(9_000), 0), None);
-    assert_eq!(monitor.observe(at(9_250), 2), Some(ToleranceChange::Sufficient { bearable: 2 }));
+    assert_eq!(monitor.observe(at(9_250), 2), Some(ToleranceChange::Sufficient { tolerable: 2 }));
     assert_eq!(monitor.observe(at(9_500), 3), None);
 }
 
@@ -26,7 +26,7 @@
     assert_eq!(monitor.observe(at(2_000), 1), None);
     assert_eq!(monitor.observe(at(4_000), 0), None);
     assert_eq!(monitor.observe(at(6_999), 0), None);
-    assert_eq!(monitor.observe(at(7_000), 0), Some(ToleranceChange::Low { bearable: 0 }));
+    assert_eq!(monitor.observe(at(7_000), 0), Some(ToleranceChange::Low { tolerable: 0 }));
 }
 
 #[test]
--- a/crates/control-plane/tests/unit/log_rewriting.rs
+++ b/crates/control-plane/tests/unit/log_rewriting.rs
@@ -29,19 +29,19 @@
 #[test]
 fn a_rewrite_that_fails_is_put_off_and_said_once() {
     let mut rewriting = LogRewriting::default();
-    assert!(rewriting.is_due(at(1), RewriteCause::RefusedWrite));
+    assert!(rewriting.is_due(at(1), RewriteCause::FailedWrite));
     rewriting.begin();
     assert!(rewriting.fail(at(1)), "the first one is said");
     assert!(rewriting.is_failing());
     for second in 1..6 {
-        assert!(!rewriting.is_due(at(second), RewriteCause::RefusedWrite), "{second}");
+        assert!(!rewriting.is_due(at(second), RewriteCause::FailedWrite), "{second}");
         assert!(!rewriting.is_due(at(second), RewriteCause::Length(100 * MIB)), "{second}");
     }
-    assert!(rewriting.is_due(at(6), RewriteCause::RefusedWrite));
+    assert!(rewriting.is_due(at(6), RewriteCause::FailedWrite));
     rewriting.begin();
     assert!(!rewriting.fail(at(6)), "the second one isn't");
     rewriting.begin();
     assert!(rewriting.succeed(MIB), "its end is");
     assert!(!rewriting.is_failing());
-    assert!(rewriting.is_due(at(6), RewriteCause::RefusedWrite));
+    assert!(rewriting.is_due(at(6), RewriteCause::FailedWrite));
 }
