--- a/crates/control-plane/tests/hosts/main.rs
+++ b/crates/control-plane/tests/hosts/main.rs
@@ -1,9 +1,9 @@
-//! Processes of the control plane on loopback addresses, called over HTTP.
+//! Tests of control-plane processes on loopback addresses, called over HTTP.
 
+mod configuration;
 mod departures;
 mod disks;
 mod isolation;
-mod orders;
-mod outside;
 mod patches;
+mod redirects;
 mod support;
--- a/crates/control-plane/tests/hosts/support.rs
+++ b/crates/control-plane/tests/hosts/support.rs
@@ -1,4 +1,4 @@
-//! Processes of the control plane on loopback addresses, and calls to them.
+//! A cluster of control-plane processes on loopback addresses, and an HTTP client for it.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -14,48 +14,48 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::sync::oneshot;
 
-/// What has to come about in the end has come about by then.
-const IN_THE_END: Duration = Duration::from_secs(30);
-/// Between two looks.
-const LOOK: Duration = Duration::from_millis(20);
+/// The timeout of [`eventually`].
+const TIMEOUT: Duration = Duration::from_secs(30);
+/// The interval at which [`eventually`] polls.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Whether a machine has a disk, and whether it counts.
+/// The kind of a machine: whether it has a disk, and whether it is a candidate for membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Machine {
-    /// It has a disk and counts.
+    /// A candidate with a disk.
     Disk,
-    /// The same, and its disk refuses every write until it is mended.
-    RefusingDisk,
-    /// It counts, and has no disk.
+    /// A candidate with a disk that fails all writes until it is repaired.
+    FailingDisk,
+    /// A candidate without a disk.
     Volatile,
-    /// It has no disk and doesn't count.
-    Plain,
+    /// Not a candidate, without a disk.
+    NonCandidate,
 }
 
-/// An answer over HTTP.
+/// An HTTP response.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Its status.
+    /// The status code.
     pub status: StatusCode,
-    /// When the caller is to come again.
+    /// The `Retry-After` header.
     pub retry_after: Option<String>,
-    /// Where the caller is to go.
+    /// The `Location` header.
     pub location: Option<String>,
-    /// Its body.
+    /// The body.
     pub body: String,
-    /// How long it took.
+    /// The time until the response was complete.
     pub took: Duration,
 }
 
 impl Answer {
-    /// A field of its body.
+    /// A field of the JSON body.
     pub fn field(&self, name: &str) -> Value {
         let body: Value = serde_json::from_str(&self.body).unwrap_or_default();
         body[name].clone()
     }
 }
 
-struct Running {
+struct RunningProcess {
     stop: oneshot::Sender<()>,
     thread: JoinHandle<()>,
 }
@@ -63,36 +63,38 @@
 struct Process {
     control: SocketAddr,
     settings: String,
-    running: Option<Running>,
+    running: Option<RunningProcess>,
 }
 
-/// Several processes, and one who calls them.
-pub struct Core {
+/// A cluster of processes, and a client that calls them.
+pub struct Cluster {
     processes: Vec<Process>,
-    folder: PathBuf,
+    directory: PathBuf,
     internal_port: u16,
     caller: Runtime,
     client: Client,
 }
 
-impl Core {
-    /// Starts machines of these kinds, all with empty disks; those that count are the seeds.
-    pub fn start(machines: &[Machine]) -> Core {
-        let counting: Vec<usize> = (0..machines.len()).filter(|at| machines[*at] != Machine::Plain).collect();
-        let seeds = vec![counting; machines.len()];
-        Core::start_with_seeds(machines, &seeds)
+impl Cluster {
+    /// Starts machines of these kinds with empty disks. The candidates for membership are the seeds.
+    pub fn start(machines: &[Machine]) -> Cluster {
+        let candidates: Vec<usize> =
+            (0..machines.len()).filter(|at| machines[*at] != Machine::NonCandidate).collect();
+        let seeds = vec![candidates; machines.len()];
+        Cluster::start_with_seeds(machines, &seeds)
     }
 
-    /// The same with other seeds for each machine.
-    pub fn start_with_seeds(machines: &[Machine], seeds: &[Vec<usize>]) -> Core {
+    /// Starts machines with individual seeds for each one.
+    pub fn start_with_seeds(machines: &[Machine], seeds: &[Vec<usize>]) -> Cluster {
         static NUMBER: AtomicU32 = AtomicU32::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("crankpick-core-{}-{number}", std::process::id()));
+        let directory =
+            std::env::temp_dir().join(format!("crankpick-cluster-{}-{number}", std::process::id()));
         let (internal_port, internal) = bind_all(machines.len());
         let (control_port, control) = bind_all(machines.len());
-        let mut core = Core {
+        let mut cluster = Cluster {
             processes: Vec::new(),
-            folder,
+            directory,
             internal_port,
             caller: Builder::new_current_thread().enable_all().build().unwrap(),
             client: Client::builder().redirect(reqwest::redirect::Policy::none()).build().unwrap(),
@@ -103,30 +105,30 @@
                 .iter()
                 .map(|seed| SocketAddr::new(address(*seed), control_port).to_string())
                 .collect();
-            let settings = core.settings(at, *machine, control, &seeds);
-            core.processes.push(Process { control, settings, running: None });
+            let settings = cluster.settings(at, *machine, control, &seeds);
+            cluster.processes.push(Process { control, settings, running: None });
         }
         for (at, listeners) in internal.into_iter().zip(control).enumerate() {
-            core.run(at, listeners, true);
+            cluster.run(at, listeners, true);
         }
-        core
+        cluster
     }
 
     fn settings(&self, at: usize, machine: Machine, control: SocketAddr, seeds: &[String]) -> String {
         let disk = match machine {
             Machine::Disk => {
-                let folder = self.folder.join(at.to_string());
-                std::fs::create_dir_all(&folder).unwrap();
-                format!("data_dir={}\n", folder.display())
+                let directory = self.directory.join(at.to_string());
+                std::fs::create_dir_all(&directory).unwrap();
+                format!("data_dir={}\n", directory.display())
             }
-            Machine::RefusingDisk => {
-                let folder = self.folder.join(at.to_string());
-                std::fs::create_dir_all(&self.folder).unwrap();
-                // A link to nowhere: nothing can be read or made there, whoever runs this.
-                std::os::unix::fs::symlink(self.mended_folder(at), &folder).unwrap();
-                format!("data_dir={}\n", folder.display())
+            Machine::FailingDisk => {
+                let directory = self.directory.join(at.to_string());
+                std::fs::create_dir_all(&self.directory).unwrap();
+                // A dangling symbolic link: no files can be read or created there, even by root.
+                std::os::unix::fs::symlink(self.repaired_directory(at), &directory).unwrap();
+                format!("data_dir={}\n", directory.display())
             }
-            Machine::Volatile | Machine::Plain => String::new(),
+            Machine::Volatile | Machine::NonCandidate => String::new(),
         };
         let port = self.internal_port;
         format!(
@@ -135,7 +137,7 @@
              heartbeat_ms=1200\ntolerate.nodes=1\n{disk}",
             control.ip(),
             seeds.join(","),
-            machine != Machine::Plain,
+            machine != Machine::NonCandidate,
         )
     }
 
@@ -160,20 +162,20 @@
                 }
             });
         });
-        process.running = Some(Running { stop, thread });
+        process.running = Some(RunningProcess { stop, thread });
     }
 
-    /// Where a refusing disk keeps its files once it is mended.
-    fn mended_folder(&self, at: usize) -> PathBuf {
-        self.folder.join(format!("{at}-mended"))
+    /// The directory in which a failing disk stores its files once it is repaired.
+    fn repaired_directory(&self, at: usize) -> PathBuf {
+        self.directory.join(format!("{at}-mended"))
     }
 
-    /// From now on a refusing disk takes writes.
-    pub fn mend_disk(&self, at: usize) {
-        std::fs::create_dir(self.mended_folder(at)).unwrap();
+    /// Makes a failing disk accept writes.
+    pub fn repair_disk(&self, at: usize) {
+        std::fs::create_dir(self.repaired_directory(at)).unwrap();
     }
 
-    /// No process may have seen an invariant of the control state broken. One that doesn't count keeps none.
+    /// Checks that a process has seen no invariant violation. A process outside the core has no such counters.
     fn check_invariants(&self, at: usize) {
         let Some(status) = self.status(at).filter(|_| !std::thread::panicking()) else { return };
         let violations = status.field("violations");
@@ -182,7 +184,7 @@
         }
     }
 
-    /// Ends a process at once, as a kill does.
+    /// Terminates a process abruptly.
     pub fn kill(&mut self, at: usize) {
         if self.processes[at].running.is_some() {
             self.check_invariants(at);
@@ -193,7 +195,7 @@
         }
     }
 
-    /// Starts a process that was killed, with the disk as it left it.
+    /// Restarts a killed process on its existing disk.
     pub fn restart(&mut self, at: usize) {
         let control = self.processes[at].control;
         let internal = SocketAddr::new(control.ip(), self.internal_port);
@@ -201,12 +203,12 @@
         self.run(at, listeners, false);
     }
 
-    /// The URL of a path at a process.
+    /// The URL of a path on a process.
     pub fn url(&self, at: usize, path: &str) -> String {
         format!("http://{}{path}", self.processes[at].control)
     }
 
-    /// Calls a process; nothing where the connection breaks.
+    /// Calls a process. `None` if the connection fails.
     pub fn call(
         &self,
         at: usize,
@@ -219,8 +221,8 @@
         self.caller.block_on(answer(request))
     }
 
-    /// Makes several calls at once.
-    pub fn call_all(&self, calls: &[(usize, Method, &str, &str, &str)]) -> Vec<Option<Answer>> {
+    /// Makes several calls concurrently.
+    pub fn call_concurrently(&self, calls: &[(usize, Method, &str, &str, &str)]) -> Vec<Option<Answer>> {
         let requests: Vec<RequestBuilder> = calls
             .iter()
             .map(|(at, method, path, if_match, body)| {
@@ -228,10 +230,10 @@
             })
             .collect();
         self.caller.block_on(async {
-            let asked: Vec<_> = requests.into_iter().map(|request| tokio::spawn(answer(request))).collect();
+            let tasks: Vec<_> = requests.into_iter().map(|request| tokio::spawn(answer(request))).collect();
             let mut answers = Vec::new();
-            for one in asked {
-                answers.push(one.await.unwrap());
+            for task in tasks {
+                answers.push(task.await.unwrap());
             }
             answers
         })
@@ -253,15 +255,15 @@
         }
     }
 
-    /// Sends an order.
+    /// Replaces the configuration.
     pub fn put(&self, at: usize, if_match: &str, body: &str) -> Option<Answer> {
         self.call(at, Method::PUT, "/v1/config", Some(if_match), body)
     }
 
-    /// Sends an order again until its answer is clear.
-    pub fn put_until_clear(&self, at: usize, if_match: &str, body: &str) -> Answer {
-        let clear = |answer: &Answer| !answer.status.is_server_error();
-        in_the_end("a clear answer", || self.put(at, if_match, body).filter(clear))
+    /// Sends a configuration until its response is definite.
+    pub fn put_until_definite(&self, at: usize, if_match: &str, body: &str) -> Answer {
+        let is_definite = |answer: &Answer| !answer.status.is_server_error();
+        eventually("a definite response", || self.put(at, if_match, body).filter(is_definite))
     }
 
     /// Reads the configuration.
@@ -269,14 +271,14 @@
         self.call(at, Method::GET, "/v1/config", None, "")
     }
 
-    /// How things stand at a process.
+    /// Reads the status of a process.
     pub fn status(&self, at: usize) -> Option<Answer> {
         self.call(at, Method::GET, "/v1/status", None, "").filter(|answer| answer.status == StatusCode::OK)
     }
 
-    /// Waits until a process is in a view with that many members, and sure of it.
+    /// Waits until a process has a recently confirmed view with this many members.
     pub fn wait_for_members(&self, at: usize, members: usize) {
-        in_the_end("a view", || {
+        eventually("a view", || {
             let status = self.status(at)?;
             let known = status.field("members").as_array().map_or(0, Vec::len) == members;
             let fresh = status.field("freshness_ms").as_u64().is_some_and(|age| age < 600);
@@ -284,62 +286,62 @@
         });
     }
 
-    /// Waits until a process counts that many peers as up.
+    /// Waits until a process sees this many peers up.
     pub fn wait_for_peers(&self, at: usize, peers: u64) {
-        in_the_end("peers", || (self.status(at)?.field("peers_up").as_u64() == Some(peers)).then_some(()));
+        eventually("peers", || (self.status(at)?.field("peers_up").as_u64() == Some(peers)).then_some(()));
     }
 
-    /// A backend's heartbeat.
+    /// Sends a backend's heartbeat.
     pub fn heartbeat(&self, at: usize, id: &str, state: &str, seq: u64) -> Option<Answer> {
         let body =
             format!(r#"{{"service":"s","address":"10.9.0.1:80","zone":"z","state":"{state}","seq":{seq}}}"#);
         self.call(at, Method::PUT, &format!("/v1/instances/{id}"), None, &body)
     }
 
-    /// A backend's sign-off.
-    pub fn sign_off(&self, at: usize, id: &str) -> Option<Answer> {
+    /// Removes a backend.
+    pub fn remove_backend(&self, at: usize, id: &str) -> Option<Answer> {
         self.call(at, Method::DELETE, &format!("/v1/instances/{id}"), None, "")
     }
 }
 
-impl Drop for Core {
+impl Drop for Cluster {
     fn drop(&mut self) {
         for at in 0..self.processes.len() {
             self.kill(at);
         }
-        let _kept = std::fs::remove_dir_all(&self.folder);
+        let _ignored = std::fs::remove_dir_all(&self.directory);
     }
 }
 
 async fn answer(request: RequestBuilder) -> Option<Answer> {
-    let begun = Instant::now();
+    let started = Instant::now();
     let response = request.send().await.ok()?;
     let header = |name: &str| Some(response.headers().get(name)?.to_str().ok()?.to_owned());
     let (status, retry_after, location) = (response.status(), header("Retry-After"), header("Location"));
     let body = response.text().await.ok()?;
-    Some(Answer { status, retry_after, location, body, took: begun.elapsed() })
+    Some(Answer { status, retry_after, location, body, took: started.elapsed() })
 }
 
-/// Looks until something is found.
-pub fn in_the_end<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-    let begun = Instant::now();
+/// Polls until `poll` returns a value; panics after a timeout.
+pub fn eventually<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let started = Instant::now();
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
-        assert!(begun.elapsed() < IN_THE_END, "{what} did not come about");
-        std::thread::sleep(LOOK);
+        assert!(started.elapsed() < TIMEOUT, "timed out waiting for {what}");
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// The machines' addresses, all on loopback.
+/// The loopback address of a machine.
 fn address(at: usize) -> std::net::IpAddr {
     std::net::IpAddr::from([127, 0, 0, u8::try_from(at + 1).unwrap()])
 }
 
-/// One port that is free at all addresses: all processes of a fleet use the same.
+/// Binds one port on all addresses, since all processes of a fleet use the same port.
 fn bind_all(machines: usize) -> (u16, Vec<TcpListener>) {
-    in_the_end("a free port", || {
+    eventually("a free port", || {
         let first = TcpListener::bind((address(0), 0)).ok()?;
         let port = first.local_addr().ok()?.port();
         let others = (1..machines).map(|at| TcpListener::bind((address(at), port)).ok());
@@ -349,5 +351,5 @@
 }
 
 fn bind(address: SocketAddr) -> TcpListener {
-    in_the_end("the port of the process before", || TcpListener::bind(address).ok())
+    eventually("the port of the previous process", || TcpListener::bind(address).ok())
 }
--- a/crates/control-plane/tests/unit/disk_opening.rs
+++ b/crates/control-plane/tests/unit/disk_opening.rs
@@ -1,4 +1,4 @@
-//! A disk that refuses keeps what it holds; one whose records are unsound is put aside.
+//! Opening the log: an I/O error leaves the files untouched, and corrupt records are quarantined.
 
 use std::fs;
 
@@ -10,37 +10,37 @@
 
 use super::*;
 
-/// A folder of its own, removed in the end.
-struct Folder(PathBuf);
+/// A temporary directory, removed on drop.
+struct TestDirectory(PathBuf);
 
-impl Folder {
-    /// A folder with the identity of a member on its disk.
-    fn with_identity(name: &str) -> Folder {
+impl TestDirectory {
+    /// Creates a directory with a log that holds the identity of a member.
+    fn with_identity(name: &str) -> TestDirectory {
         let path = std::env::temp_dir().join(format!("crankpick-opening-{}-{name}", std::process::id()));
         drop(fs::remove_dir_all(&path));
         let mut log = Log::open(&path).unwrap().log;
         log.append(&[&identity().encode().unwrap()]).unwrap();
-        Folder(path)
+        TestDirectory(path)
     }
 
-    fn names(&self) -> Vec<String> {
+    fn file_names(&self) -> Vec<String> {
         let entries = fs::read_dir(&self.0).unwrap();
-        let names = entries.map(|entry| entry.unwrap().file_name().into_string().unwrap());
-        let mut names: Vec<String> = names.collect();
-        names.sort_unstable();
-        names
+        let file_names = entries.map(|entry| entry.unwrap().file_name().into_string().unwrap());
+        let mut file_names: Vec<String> = file_names.collect();
+        file_names.sort_unstable();
+        file_names
     }
 
     fn open(&self) -> Result<Vec<Record>, ControlPlaneError> {
         let runtime = Builder::new_current_thread().enable_time().build().unwrap();
-        let (events, _heard) = channel(8);
+        let (events, _receiver) = channel(8);
         let log = Logger::root(Discard, o!());
         let opened = runtime.block_on(open_disk(&self.0, &events, Duration::from_millis(1), &log));
         opened.map(|(_, records)| records)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestDirectory {
     fn drop(&mut self) {
         drop(fs::remove_dir_all(&self.0));
     }
@@ -51,40 +51,40 @@
 }
 
 #[test]
-fn a_disk_that_refuses_keeps_what_it_holds() {
-    let folder = Folder::with_identity("refuses");
-    // A folder in the place of the newest file: it can't be opened for writing, whoever runs this.
-    fs::create_dir(folder.0.join("records-2")).unwrap();
-    let before = folder.names();
-    let refused = folder.open();
-    assert!(matches!(&refused, Err(ControlPlaneError::Storage { .. })), "{refused:?}");
-    let advice = refused.map_err(|error| error.to_string()).unwrap_err();
-    assert!(advice.contains("its contents are kept") && !advice.contains("empty the folder"), "{advice}");
-    assert_eq!(folder.names(), before);
-    fs::remove_dir(folder.0.join("records-2")).unwrap();
-    assert_eq!(folder.open().unwrap(), [identity()]);
+fn io_error_leaves_the_files_untouched() {
+    let directory = TestDirectory::with_identity("refuses");
+    // A directory in place of the newest file: it can't be opened for writing, even by root.
+    fs::create_dir(directory.0.join("records-2")).unwrap();
+    let before = directory.file_names();
+    let result = directory.open();
+    assert!(matches!(&result, Err(ControlPlaneError::Storage { .. })), "{result:?}");
+    let message = result.map_err(|error| error.to_string()).unwrap_err();
+    assert!(message.contains("its contents are kept") && !message.contains("empty the folder"), "{message}");
+    assert_eq!(directory.file_names(), before);
+    fs::remove_dir(directory.0.join("records-2")).unwrap();
+    assert_eq!(directory.open().unwrap(), [identity()]);
 }
 
 #[test]
-fn a_file_of_unsound_records_is_put_aside() {
-    let folder = Folder::with_identity("unsound");
-    let mut log = Log::open(&folder.0).unwrap().log;
+fn file_with_corrupt_records_is_quarantined() {
+    let directory = TestDirectory::with_identity("unsound");
+    let mut log = Log::open(&directory.0).unwrap().log;
     log.append(&[b"a record of no build"]).unwrap();
-    assert_eq!(folder.open().unwrap(), []);
-    // Nothing is made before there is something to store.
-    assert_eq!(folder.names(), ["records-1.1.unsound"]);
-    let mut log = Log::open(&folder.0).unwrap().log;
+    assert_eq!(directory.open().unwrap(), []);
+    // No new file is created before there is a record to store.
+    assert_eq!(directory.file_names(), ["records-1.1.unsound"]);
+    let mut log = Log::open(&directory.0).unwrap().log;
     log.append(&[b"a record"]).unwrap();
-    assert_eq!(folder.names(), ["records-1", "records-1.1.unsound"]);
+    assert_eq!(directory.file_names(), ["records-1", "records-1.1.unsound"]);
 }
 
 #[test]
-fn files_that_cant_be_put_aside_are_told() {
-    let folder = Folder::with_identity("kept");
-    let missing = folder.0.join("missing");
+fn quarantine_failure_is_reported() {
+    let directory = TestDirectory::with_identity("kept");
+    let missing = directory.0.join("missing");
     let error = quarantine_files(&missing).unwrap_err();
     assert_eq!(error.code(), "CTL-206");
     assert!(error.to_string().contains("missing"), "{error}");
-    quarantine_files(&folder.0).unwrap();
-    assert_eq!(folder.names(), ["records-1.1.unsound"]);
+    quarantine_files(&directory.0).unwrap();
+    assert_eq!(directory.file_names(), ["records-1.1.unsound"]);
 }
--- a/crates/control-plane/tests/unit/fault_tolerance.rs
+++ b/crates/control-plane/tests/unit/fault_tolerance.rs
@@ -1,4 +1,4 @@
-//! A lack of members that lasts is told once, and its end.
+//! A lasting shortfall of tolerable failures is reported once, and so is its end.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_lack_that_lasts_is_told_once_and_so_is_its_end() {
+fn lasting_shortfall_and_its_end_are_reported_once() {
     let mut monitor = ToleranceMonitor::new(2);
     assert_eq!(monitor.observe(at(0), 1), None);
     assert_eq!(monitor.observe(at(2_999), 1), None);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_short_lack_is_not_told() {
+fn short_shortfall_is_not_reported() {
     let mut monitor = ToleranceMonitor::new(1);
     assert_eq!(monitor.observe(at(0), 0), None);
     assert_eq!(monitor.observe(at(2_000), 1), None);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn where_no_loss_is_to_be_borne_there_is_no_lack() {
+fn no_shortfall_if_no_failure_must_be_tolerable() {
     let mut monitor = ToleranceMonitor::new(0);
     assert_eq!(monitor.observe(at(0), 0), None);
     assert_eq!(monitor.observe(at(60_000), 0), None);
--- a/crates/control-plane/tests/unit/log_rewriting.rs
+++ b/crates/control-plane/tests/unit/log_rewriting.rs
@@ -1,4 +1,4 @@
-//! When the log is rewritten, and how a rewrite that fails is put off.
+//! When the log is rewritten, and how failed rewrites are delayed.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_log_is_rewritten_once_it_has_grown_long() {
+fn log_is_rewritten_once_it_has_grown() {
     let mut rewriting = LogRewriting::default();
     assert!(!rewriting.is_due(at(1), RewriteCause::Length(2 * MIB - 1)));
     assert!(rewriting.is_due(at(1), RewriteCause::Length(2 * MIB)));
@@ -22,16 +22,16 @@
     assert!(rewriting.is_due(at(1), RewriteCause::Length(4 * MIB)));
     rewriting.begin();
     rewriting.succeed(5 * MIB);
-    assert!(!rewriting.is_due(at(1), RewriteCause::Length(10 * MIB)), "it hasn't doubled");
+    assert!(!rewriting.is_due(at(1), RewriteCause::Length(10 * MIB)), "it hasn't more than doubled");
     assert!(rewriting.is_due(at(1), RewriteCause::Length(10 * MIB + 1)));
 }
 
 #[test]
-fn a_rewrite_that_fails_is_put_off_and_said_once() {
+fn failed_rewrite_is_delayed_and_reported_once() {
     let mut rewriting = LogRewriting::default();
     assert!(rewriting.is_due(at(1), RewriteCause::FailedWrite));
     rewriting.begin();
-    assert!(rewriting.fail(at(1)), "the first one is said");
+    assert!(rewriting.fail(at(1)), "the first failure is reported");
     assert!(rewriting.is_failing());
     for second in 1..6 {
         assert!(!rewriting.is_due(at(second), RewriteCause::FailedWrite), "{second}");
@@ -39,9 +39,9 @@
     }
     assert!(rewriting.is_due(at(6), RewriteCause::FailedWrite));
     rewriting.begin();
-    assert!(!rewriting.fail(at(6)), "the second one isn't");
+    assert!(!rewriting.fail(at(6)), "the second failure isn't reported");
     rewriting.begin();
-    assert!(rewriting.succeed(MIB), "its end is");
+    assert!(rewriting.succeed(MIB), "the recovery is reported");
     assert!(!rewriting.is_failing());
     assert!(rewriting.is_due(at(6), RewriteCause::FailedWrite));
 }
--- a/crates/control-plane/tests/unit/member_search.rs
+++ b/crates/control-plane/tests/unit/member_search.rs
@@ -1,4 +1,4 @@
-//! Whom a process outside the core asks for the view, and where it sends its callers.
+//! Which processes are polled for the view, and where callers are redirected.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,14 +28,14 @@
     View { epoch, members, chain, start: EntryId::default() }
 }
 
-/// A process in the zone `z2` at an address of its own that knows these seeds.
+/// The search of a process in zone `z2` that knows these seeds.
 fn search(seeds: &[u8]) -> MemberSearch {
     let seeds = seeds.iter().map(|number| address(*number)).collect();
     MemberSearch::new(at(0), address(90), "z2".into(), seeds, 0)
 }
 
 #[test]
-fn it_asks_the_seeds_and_sends_callers_to_the_member_that_answers() {
+fn seeds_are_polled_and_callers_redirected_to_the_responding_member() {
     let mut search = search(&[1, 2, 3]);
     assert_eq!(search.reachable_member(), None);
     assert_eq!(search.poll(at(0)), Some(address(1)));
@@ -47,14 +47,14 @@
 }
 
 #[test]
-fn one_that_does_not_answer_is_left_for_the_next() {
+fn unresponsive_member_is_replaced_by_the_next() {
     let mut search = search(&[1, 2, 3]);
     search.poll(at(0));
     search.view_received(at(10), address(1), view(1, &[1, 2, 3]));
     search.poll(at(2_010));
     assert_eq!(search.wake_at(), at(2_610));
     assert_eq!(search.poll(at(2_609)), None);
-    // The first that wasn't asked, after the member of its own zone.
+    // One request has failed, so the candidate after the member of its own zone is polled.
     assert_eq!(search.poll(at(2_610)), Some(address(1)));
     assert_eq!(search.reachable_member(), None);
     assert_eq!(search.poll(at(3_210)), Some(address(3)));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_process_that_is_no_member_tells_the_view_but_takes_no_calls() {
+fn non_member_provides_the_view_but_is_no_redirect_target() {
     let mut search = search(&[91, 92]);
     assert_eq!(search.poll(at(0)), Some(address(91)));
     search.view_received(at(10), address(91), view(4, &[1, 2, 3]));
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn one_that_is_no_member_any_more_is_left() {
+fn former_member_is_no_redirect_target() {
     let mut search = search(&[1]);
     search.poll(at(0));
     search.view_received(at(10), address(1), view(1, &[1, 2, 3]));
@@ -86,33 +86,34 @@
 }
 
 #[test]
-fn one_that_knows_nobody_asks_nobody() {
+fn without_candidates_nothing_is_polled() {
     let mut search = search(&[90]);
     assert_eq!(search.poll(at(0)), None);
     assert_eq!(search.reachable_member(), None);
 }
 
 #[test]
-fn while_nobody_answers_it_asks_once_in_600_ms() {
+fn without_responses_it_polls_once_in_600_ms() {
     let mut search = search(&[1, 2, 3]);
-    let asked = (0..60_000).filter(|ms| search.poll(at(*ms)).is_some()).count();
-    assert_eq!(asked, 100);
+    let polled = (0..60_000).filter(|ms| search.poll(at(*ms)).is_some()).count();
+    assert_eq!(polled, 100);
 }
 
-/// All seeds are processes like this one, and all have just started: the first of the core that says it is there is asked.
+/// Guards against a process that never finds the core because all its seeds are outside the core and have just started
+/// too: a process of the core that sends a message is polled.
 #[test]
-fn a_process_of_the_core_that_is_heard_is_asked_at_once() {
+fn discovered_process_of_the_core_is_polled() {
     let mut search = search(&[91, 92]);
     assert_eq!(search.poll(at(0)), Some(address(91)));
     search.peer_discovered(at(100), address(2));
-    let asked: Vec<_> = (0..3).map(|turn| search.poll(at(100 + 600 * turn))).collect();
-    assert!(asked.contains(&Some(address(2))), "{asked:?}");
+    let polled: Vec<_> = (0..3).map(|turn| search.poll(at(100 + 600 * turn))).collect();
+    assert!(polled.contains(&Some(address(2))), "{polled:?}");
     search.view_received(at(1_310), address(2), view(3, &[1, 2, 3]));
     assert_eq!(search.view().epoch, 3);
 }
 
 #[test]
-fn seeds_that_are_named_later_are_asked() {
+fn changed_seeds_are_polled() {
     let mut search = search(&[91]);
     assert_eq!(search.poll(at(0)), Some(address(91)));
     search.set_seeds(vec![address(5)]);
--- a/crates/control-plane/tests/unit/pending_announcements.rs
+++ b/crates/control-plane/tests/unit/pending_announcements.rs
@@ -1,5 +1,5 @@
-//! A draining backend is acknowledged once a majority of the members has the word and the peers within reach had their
-//! time, never without a majority.
+//! A draining backend is acknowledged once a majority of the members has the announcement and the reachable peers have
+//! acknowledged it or timed out, never without a majority.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -35,7 +35,7 @@
     Quorum::of(&view, MemberId(u64::from(OWN))).unwrap()
 }
 
-fn word() -> Announcement {
+fn announcement() -> Announcement {
     Announcement::of_backends(ProcessId(1), Vec::new())
 }
 
@@ -46,12 +46,12 @@
 }
 
 impl TestAnnouncement {
-    /// An announcement among `members` of whom `up` count as within reach, begun at 0 ms.
-    fn begun(members: &[u8], up: &[u8]) -> TestAnnouncement {
+    /// An announcement to `members`, of whom `up` count as reachable, added at 0 ms.
+    fn started(members: &[u8], up: &[u8]) -> TestAnnouncement {
         let mut announcements = PendingAnnouncements::default();
         let (reply, answer) = oneshot::channel();
         let up = up.iter().map(|number| peer(*number));
-        let number = announcements.add(at(0), quorum(members), up, word(), reply);
+        let number = announcements.add(at(0), quorum(members), up, announcement(), reply);
         TestAnnouncement { announcements, number, answer }
     }
 
@@ -70,7 +70,7 @@
 
 #[test]
 fn acknowledged_once_all_peers_have_it() {
-    let mut test = TestAnnouncement::begun(&[1, 2, 3], &[2, 3]);
+    let mut test = TestAnnouncement::started(&[1, 2, 3], &[2, 3]);
     assert_eq!(test.acknowledged(10, 2), None);
     assert_eq!(test.acknowledged(11, 2), None);
     assert_eq!(test.response(), None);
@@ -79,20 +79,20 @@
 }
 
 #[test]
-fn acknowledged_by_a_majority_without_a_peer_that_stays_silent() {
-    let mut test = TestAnnouncement::begun(&[1, 2, 3], &[2, 3]);
+fn acknowledged_by_a_majority_without_an_unresponsive_peer() {
+    let mut test = TestAnnouncement::started(&[1, 2, 3], &[2, 3]);
     test.acknowledged(10, 2);
     assert_eq!(test.announcements.expire(at(299)), []);
     assert_eq!(test.response(), None);
-    let relay = Relay { via: vec![peer(2)], to: vec![peer(3)], announcement: word() };
+    let relay = Relay { via: vec![peer(2)], to: vec![peer(3)], announcement: announcement() };
     assert_eq!(test.announcements.expire(at(300)), [relay]);
     assert_eq!(test.response(), Some(HeartbeatResponse::Acknowledged));
     assert_eq!(test.acknowledged(310, 3), None);
 }
 
 #[test]
-fn not_acknowledged_where_no_peer_is_up() {
-    let mut test = TestAnnouncement::begun(&[1, 2, 3], &[]);
+fn not_acknowledged_if_no_peer_is_up() {
+    let mut test = TestAnnouncement::started(&[1, 2, 3], &[]);
     test.announcements.expire(at(300));
     assert_eq!(test.response(), None);
     test.announcements.expire(at(700));
@@ -100,8 +100,8 @@
 }
 
 #[test]
-fn not_acknowledged_where_peers_that_count_as_up_are_cut_off() {
-    let mut test = TestAnnouncement::begun(&[1, 2, 3, 4, 5], &[2, 3, 4, 5]);
+fn not_acknowledged_if_peers_that_count_as_up_are_isolated() {
+    let mut test = TestAnnouncement::started(&[1, 2, 3, 4, 5], &[2, 3, 4, 5]);
     test.acknowledged(10, 2);
     test.announcements.expire(at(300));
     assert_eq!(test.response(), None);
@@ -112,8 +112,8 @@
 }
 
 #[test]
-fn not_acknowledged_by_peers_that_are_no_members() {
-    let mut test = TestAnnouncement::begun(&[1, 2, 3], &[7, 8]);
+fn acknowledgements_by_non_members_are_not_enough() {
+    let mut test = TestAnnouncement::started(&[1, 2, 3], &[7, 8]);
     test.acknowledged(10, 7);
     test.acknowledged(10, 8);
     test.announcements.expire(at(700));
@@ -121,42 +121,42 @@
 }
 
 #[test]
-fn a_majority_that_answers_late_is_enough() {
-    let mut test = TestAnnouncement::begun(&[1, 2, 3], &[2, 3]);
+fn late_majority_is_enough() {
+    let mut test = TestAnnouncement::started(&[1, 2, 3], &[2, 3]);
     test.announcements.expire(at(300));
     assert!(test.acknowledged(450, 3).is_some());
     assert_eq!(test.response(), Some(HeartbeatResponse::Acknowledged));
 }
 
 #[test]
-fn a_member_that_does_not_count_as_up_gets_the_word_from_others() {
-    let mut test = TestAnnouncement::begun(&[1, 2, 3], &[2]);
-    let relay = Relay { via: vec![peer(2)], to: vec![peer(3)], announcement: word() };
+fn member_that_is_not_up_gets_the_announcement_by_relay() {
+    let mut test = TestAnnouncement::started(&[1, 2, 3], &[2]);
+    let relay = Relay { via: vec![peer(2)], to: vec![peer(3)], announcement: announcement() };
     assert_eq!(test.acknowledged(10, 2), Some(relay));
     assert_eq!(test.response(), Some(HeartbeatResponse::Acknowledged));
 }
 
 #[test]
-fn the_only_member_acknowledges_by_itself() {
-    let mut test = TestAnnouncement::begun(&[1], &[]);
+fn only_member_acknowledges_by_itself() {
+    let mut test = TestAnnouncement::started(&[1], &[]);
     test.announcements.expire(at(0));
     assert_eq!(test.response(), Some(HeartbeatResponse::Acknowledged));
 }
 
 #[test]
-fn sent_elsewhere_once_the_majority_is_out_of_reach() {
-    let mut test = TestAnnouncement::begun(&[1, 2, 3], &[2, 3]);
+fn unconfirmed_once_the_majority_is_unreachable() {
+    let mut test = TestAnnouncement::started(&[1, 2, 3], &[2, 3]);
     test.announcements.fail_all();
     assert_eq!(test.response(), Some(HeartbeatResponse::Unconfirmed));
 }
 
 #[test]
-fn sent_elsewhere_where_too_many_wait() {
+fn unconfirmed_if_too_many_are_pending() {
     let mut announcements = PendingAnnouncements::default();
     let mut answers = Vec::new();
     for _ in 0..=MAX_PENDING {
         let (reply, answer) = oneshot::channel();
-        announcements.add(at(0), quorum(&[1, 2, 3]), [peer(2)], word(), reply);
+        announcements.add(at(0), quorum(&[1, 2, 3]), [peer(2)], announcement(), reply);
         answers.push(answer);
     }
     assert_eq!(answers[MAX_PENDING].try_recv(), Ok(HeartbeatResponse::Unconfirmed));
--- a/crates/control-plane/tests/unit/quorum.rs
+++ b/crates/control-plane/tests/unit/quorum.rs
@@ -1,4 +1,4 @@
-//! Which answers make a majority of a view.
+//! Which acknowledgements form a majority of a view.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn an_outsider_counts_for_nothing() {
+fn non_member_does_not_count_itself() {
     let quorum = Quorum::of(&view(&[1, 2, 3]), MemberId(9)).unwrap();
     assert!(!quorum.is_met_by(&acknowledged(&[1])));
     assert!(!quorum.is_met_by(&acknowledged(&[1, 8, 9])));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn half_of_the_members_is_no_majority() {
+fn half_of_the_members_are_no_majority() {
     let quorum = Quorum::of(&view(&[1, 2, 3, 4]), MemberId(1)).unwrap();
     assert!(!quorum.is_met_by(&acknowledged(&[2])));
     assert!(quorum.is_met_by(&acknowledged(&[2, 3])));
--- a/crates/control-plane/tests/unit/quotas.rs
+++ b/crates/control-plane/tests/unit/quotas.rs
@@ -1,4 +1,4 @@
-//! Owners and homes of tenants' quotas: who owns what under which epoch, and what the sum may be.
+//! Owners and homes of tenants' quotas: ownership by epoch, and bounds on what is granted.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,14 +16,14 @@
 const CONFIGURATION: &str = r#"{"generation": 1, "routes": [], "services": [],
     "tenants": [{"name": "large", "api_keys": ["k"], "unit": "token_count", "rate_per_s": 1000, "burst": 1000}]}"#;
 
-fn place(number: u8) -> SocketAddr {
+fn address(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 7500))
 }
 
 fn view(epoch: u64, numbers: &[u8]) -> View {
     let member = |number: &u8| Member {
         id: MemberId(u64::from(*number)),
-        address: place(*number),
+        address: address(*number),
         zone: "a".into(),
         durable: true,
     };
@@ -37,19 +37,19 @@
 
 fn quotas(number: u8) -> Quotas {
     let bounds = QuotaBounds { window: Duration::from_secs(8), over: 0.1, slack: 1_000.0 };
-    let mut quotas = Quotas::new(ProcessId(u64::from(number)), place(number), bounds);
+    let mut quotas = Quotas::new(ProcessId(u64::from(number)), address(number), bounds);
     let configuration = crankpick_configuration::read(CONFIGURATION.as_bytes()).unwrap();
     quotas.configure(&RoutingTable::compile(&configuration));
     quotas.view_changed(&view(1, &[1, 2, 3]));
     quotas
 }
 
-fn asked(rate: f64) -> Vec<TenantDemand> {
+fn demands_of(rate: f64) -> Vec<TenantDemand> {
     let demand = Demand { rate, need: 0.0, level: 0.0, ..Demand::default() };
     vec![TenantDemand { tenant: "large".into(), demand }]
 }
 
-/// What an owner answers to one home's demands.
+/// An owner's answer to one home's demands.
 fn answer(
     quotas: &mut Quotas,
     now: Duration,
@@ -63,7 +63,7 @@
     quotas.grant_as_owner(now, received, freshness)
 }
 
-/// What an owner grants to one home.
+/// The grants in an owner's answer to one home.
 fn granted(
     quotas: &mut Quotas,
     now: Duration,
@@ -79,9 +79,9 @@
 }
 
 fn owner_of_large() -> u8 {
-    let places = [place(1), place(2), place(3)];
-    let owner = owner(&places, "large").unwrap();
-    (1..=3).find(|number| place(*number) == owner).unwrap()
+    let addresses = [address(1), address(2), address(3)];
+    let owner = owner(&addresses, "large").unwrap();
+    (1..=3).find(|number| address(*number) == owner).unwrap()
 }
 
 #[test]
@@ -90,28 +90,28 @@
     let owner = owner_of_large();
     for number in 1..=3 {
         let mut quotas = quotas(number);
-        let grants = granted(&mut quotas, now, 9, 1, asked(500.0), FRESH);
+        let grants = granted(&mut quotas, now, 9, 1, demands_of(500.0), FRESH);
         assert_eq!(grants.len(), usize::from(number == owner));
-        assert!(granted(&mut quotas, now, 9, 0, asked(500.0), FRESH).is_empty());
-        assert!(granted(&mut quotas, now, 9, 2, asked(500.0), FRESH).is_empty());
+        assert!(granted(&mut quotas, now, 9, 0, demands_of(500.0), FRESH).is_empty());
+        assert!(granted(&mut quotas, now, 9, 2, demands_of(500.0), FRESH).is_empty());
     }
 }
 
 #[test]
-fn an_owner_in_doubt_of_its_view_grants_nothing() {
+fn owner_with_an_unconfirmed_view_grants_nothing() {
     let now = Duration::from_secs(1);
     let mut quotas = quotas(owner_of_large());
-    assert!(granted(&mut quotas, now, 9, 1, asked(500.0), None).is_empty());
+    assert!(granted(&mut quotas, now, 9, 1, demands_of(500.0), None).is_empty());
     let stale = Some(Duration::from_millis(1_001));
-    assert!(granted(&mut quotas, now, 9, 1, asked(500.0), stale).is_empty());
+    assert!(granted(&mut quotas, now, 9, 1, demands_of(500.0), stale).is_empty());
 }
 
 #[test]
-fn an_owner_forgets_what_it_lent_unless_it_owned_in_the_view_before() {
+fn owner_keeps_allocators_only_from_the_preceding_view() {
     let now = Duration::from_secs(1);
     let number = owner_of_large();
     let mut quotas = quotas(number);
-    granted(&mut quotas, now, 9, 1, asked(500.0), FRESH);
+    granted(&mut quotas, now, 9, 1, demands_of(500.0), FRESH);
     assert_eq!(quotas.owned_tenants(), 1);
     quotas.view_changed(&view(2, &[1, 2, 3]));
     assert_eq!(quotas.owned_tenants(), 1);
@@ -120,25 +120,25 @@
 }
 
 #[test]
-fn a_home_lends_what_its_owner_granted() {
+fn home_grants_from_what_its_owner_granted() {
     let now = Duration::from_secs(1);
     let number = owner_of_large();
     let mut quotas = quotas(number);
     let holder = HolderId(70);
-    let nothing = quotas.report(now, holder, asked(500.0));
+    let nothing = quotas.report(now, holder, demands_of(500.0));
     assert_eq!(nothing[0].grant.rate, 0.0);
     let sent = quotas.demands(now, FRESH).remove(0);
-    assert_eq!(sent.to, place(number));
+    assert_eq!(sent.to, address(number));
     let grants = granted(&mut quotas, now, u64::from(number), sent.epoch, sent.demands, FRESH);
     let granted = grants[0].grant.rate;
     quotas.grants_received(now, sent.number, grants);
-    let lent = quotas.report(now, holder, asked(500.0));
-    assert!(lent[0].grant.rate >= 500.0, "{lent:?}");
-    assert!(lent[0].grant.rate <= granted, "{lent:?} of {granted}");
+    let reported = quotas.report(now, holder, demands_of(500.0));
+    assert!(reported[0].grant.rate >= 500.0, "{reported:?}");
+    assert!(reported[0].grant.rate <= granted, "{reported:?} of {granted}");
 }
 
 #[test]
-fn a_tenant_without_a_limit_is_nobodys() {
+fn tenant_without_a_limit_has_no_quota() {
     let now = Duration::from_secs(1);
     let mut quotas = quotas(owner_of_large());
     let demand = Demand { rate: 1.0, need: 0.0, level: 0.0, ..Demand::default() };
@@ -148,43 +148,44 @@
 }
 
 #[test]
-fn a_home_that_is_cut_off_lends_nothing_past_its_lease() {
+fn isolated_home_grants_nothing_past_its_lease() {
     let begin = Duration::from_secs(1);
     let holder = HolderId(70);
     let mut home = quotas(owner_of_large());
-    home.report(begin, holder, asked(500.0));
+    home.report(begin, holder, demands_of(500.0));
     let sent = home.demands(begin, FRESH).remove(0);
     let grants = granted(&mut home, begin, 9, sent.epoch, sent.demands, FRESH);
     home.grants_received(begin, sent.number, grants);
-    let lent_until = begin + LEASE_DURATION;
+    let granted_until = begin + LEASE_DURATION;
     let mut now = begin;
-    while now < lent_until + LEASE_DURATION {
+    while now < granted_until + LEASE_DURATION {
         let demands = home.demands(now, FRESH);
         let answered: usize = demands
             .into_iter()
             .map(|sent| granted(&mut home, now, 9, sent.epoch, sent.demands, None).len())
             .sum();
         assert_eq!(answered, 0, "an owner that reaches no majority granted at {now:?}");
-        let lent = home.report(now, holder, asked(500.0)).remove(0).grant;
-        let lends = lent.rate > 0.0 || lent.credit > 0.0;
-        assert!(!lends || now + lent.valid_for <= lent_until, "lent at {now:?}: {lent:?}");
+        let grant = home.report(now, holder, demands_of(500.0)).remove(0).grant;
+        let grants_quota = grant.rate > 0.0 || grant.credit > 0.0;
+        assert!(!grants_quota || now + grant.valid_for <= granted_until, "granted at {now:?}: {grant:?}");
         now += Duration::from_millis(250);
     }
 }
 
-/// What was not used while nobody asked is there for the first who asks, and no more than that.
+/// Quota unused while there were no demands is available to the first home with a demand, but is granted only once.
 #[test]
-fn an_owner_that_nobody_asks_lets_its_pool_fill() {
+fn unused_quota_accrues_at_the_owner() {
     let mut quotas = quotas(owner_of_large());
     let others = [ProcessId(7), ProcessId(8)];
     for quarter in 4..60 {
         quotas.refresh_owned(Duration::from_millis(250) * quarter, FRESH, &others);
     }
     let needy = Demand { rate: 0.0, need: 900.0, ..Demand::default() };
-    let asked = vec![TenantDemand { tenant: "large".into(), demand: needy }];
+    let received = vec![TenantDemand { tenant: "large".into(), demand: needy }];
     let now = Duration::from_secs(15);
     let credit =
-        |quotas: &mut Quotas, home: u64| match answer(quotas, now, home, 1, asked.clone(), FRESH, &others) {
+        |quotas: &mut Quotas, home: u64| match answer(quotas, now, home, 1, received.clone(), FRESH, &others)
+        {
             OwnerAnswer::Granted(grants) => grants[0].grant.credit,
             other => panic!("{other:?}"),
         };
@@ -194,7 +195,7 @@
 }
 
 #[test]
-fn an_owner_in_doubt_of_its_view_fills_nothing() {
+fn owner_with_an_unconfirmed_view_creates_no_allocators() {
     let mut quotas = quotas(owner_of_large());
     for quarter in 4..60 {
         quotas.refresh_owned(Duration::from_millis(250) * quarter, None, &[]);
@@ -202,91 +203,92 @@
     assert_eq!(quotas.owned_tenants(), 0);
 }
 
-/// A home that asks in the first epoch, and the number of its demands.
-fn home_that_asked(now: Duration) -> (Quotas, u64) {
+/// A home that has sent demands in epoch 1, and the number of these demands.
+fn home_with_sent_demands(now: Duration) -> (Quotas, u64) {
     let mut home = quotas(9);
-    home.report(now, HolderId(70), asked(500.0));
+    home.report(now, HolderId(70), demands_of(500.0));
     let sent = home.demands(now, FRESH).remove(0);
     assert_eq!(sent.epoch, 1);
     (home, sent.number)
 }
 
-/// Whether a home asks anybody in a tick, in whatever way.
-fn asks(home: &mut Quotas, now: Duration) -> bool {
+/// Whether a home sends any demands in a tick, periodic or urgent.
+fn sends_demands(home: &mut Quotas, now: Duration) -> bool {
     let needy = Demand { rate: 500.0, need: 9_000.0, ..Demand::default() };
     home.report(now, HolderId(70), vec![TenantDemand { tenant: "large".into(), demand: needy }]);
     !home.demands(now, FRESH).is_empty() || !home.urgent_demands(now, FRESH).is_empty()
 }
 
 #[test]
-fn a_refused_epoch_is_not_used_again() {
+fn refused_epoch_is_not_used_again() {
     let mut now = Duration::from_secs(1);
-    let (mut home, number) = home_that_asked(now);
+    let (mut home, number) = home_with_sent_demands(now);
     home.grants_received(now, number, Vec::new());
     assert_eq!(home.refused_epochs().refused_elsewhere, 1);
-    // Longer than a lease, with a pause of the process in it.
+    // Longer than a lease, including a long pause of the process.
     for step in [0, 15, 250, 500, 900, 8_000, 8_250, 20_000] {
-        assert!(!asks(&mut home, now + Duration::from_millis(step)), "after {step} ms");
+        assert!(!sends_demands(&mut home, now + Duration::from_millis(step)), "after {step} ms");
     }
     now += Duration::from_secs(21);
     home.view_changed(&view(2, &[1, 2, 3]));
-    assert!(asks(&mut home, now), "the next epoch is another one");
+    assert!(sends_demands(&mut home, now), "the next epoch is usable");
 }
 
 #[test]
-fn a_refusal_that_comes_late_or_twice_stops_no_later_epoch() {
+fn late_or_duplicate_refusal_does_not_affect_later_epochs() {
     let now = Duration::from_secs(1);
-    let (mut home, first) = home_that_asked(now);
+    let (mut home, first) = home_with_sent_demands(now);
     home.view_changed(&view(2, &[1, 2, 3]));
     let second = home.demands(now, FRESH).remove(0);
     home.grants_received(now, first, Vec::new());
     home.grants_received(now, first, Vec::new());
-    assert!(asks(&mut home, now));
+    assert!(sends_demands(&mut home, now));
     home.grants_received(now, second.number, Vec::new());
-    assert!(!asks(&mut home, now));
+    assert!(!sends_demands(&mut home, now));
     home.grants_received(now, first, Vec::new());
-    assert!(!asks(&mut home, now), "a refusal of an older epoch says nothing of this one");
+    assert!(!sends_demands(&mut home, now), "a refusal of an older epoch doesn't change the current one");
     home.view_changed(&view(4, &[1, 2, 3]));
-    assert!(asks(&mut home, now));
+    assert!(sends_demands(&mut home, now));
 }
 
-/// Numbers begin anew at each start: an answer to the demands of an earlier incarnation is none.
+/// Numbers start over with each incarnation: an answer to an earlier incarnation's demands must be ignored.
 #[test]
-fn a_refusal_of_nothing_that_was_sent_is_no_refusal() {
+fn refusal_with_an_unknown_number_is_ignored() {
     let now = Duration::from_secs(1);
     let mut home = quotas(9);
     home.grants_received(now, 1, Vec::new());
-    home.report(now, HolderId(70), asked(500.0));
-    assert!(asks(&mut home, now));
+    home.report(now, HolderId(70), demands_of(500.0));
+    assert!(sends_demands(&mut home, now));
 }
 
-/// A process that was refused and restarted may find the old view on its disk.
+/// Guards against using a refused epoch again: a process that restarts after a refusal may find the old view on its disk.
 #[test]
-fn a_home_asks_nobody_before_its_view_was_confirmed() {
+fn home_sends_no_demands_before_its_view_is_confirmed() {
     let now = Duration::from_secs(1);
     let mut home = quotas(9);
-    home.report(now, HolderId(70), asked(500.0));
+    home.report(now, HolderId(70), demands_of(500.0));
     assert!(home.demands(now, None).is_empty());
     assert!(home.urgent_demands(now, None).is_empty());
     assert!(!home.demands(now, Some(Duration::from_secs(30))).is_empty(), "once is enough");
 }
 
-/// The owner of the later epoch refuses, and so the former one learns that it is none; and the other way round.
+/// Guards against two owners granting in different epochs: the later owner refuses older demands, and the former owner
+/// stops granting once it observes the later epoch.
 #[test]
-fn two_owners_that_hear_of_one_another_agree_on_the_later_epoch() {
+fn owners_agree_on_the_later_epoch() {
     let now = Duration::from_secs(1);
     let number = owner_of_large();
     let (mut former, mut later) = (quotas(number), quotas(number));
     later.view_changed(&view(2, &[1, 2, 3]));
-    assert_eq!(answer(&mut later, now, 9, 1, asked(500.0), FRESH, &[]), OwnerAnswer::StaleEpoch);
+    assert_eq!(answer(&mut later, now, 9, 1, demands_of(500.0), FRESH, &[]), OwnerAnswer::StaleEpoch);
     assert_eq!(later.refused_epochs().refused_here, 1);
-    assert_eq!(granted(&mut later, now, 9, 2, asked(500.0), FRESH).len(), 1);
-    // The former one still grants, until it hears of the later epoch from anyone.
-    assert_eq!(granted(&mut former, now, 9, 1, asked(500.0), FRESH).len(), 1);
-    assert_eq!(answer(&mut former, now, 9, 2, asked(500.0), FRESH, &[]), OwnerAnswer::Unconfirmed);
-    assert_eq!(answer(&mut former, now, 9, 1, asked(500.0), FRESH, &[]), OwnerAnswer::Unconfirmed);
+    assert_eq!(granted(&mut later, now, 9, 2, demands_of(500.0), FRESH).len(), 1);
+    // The former owner still grants until it observes the later epoch.
+    assert_eq!(granted(&mut former, now, 9, 1, demands_of(500.0), FRESH).len(), 1);
+    assert_eq!(answer(&mut former, now, 9, 2, demands_of(500.0), FRESH, &[]), OwnerAnswer::Unconfirmed);
+    assert_eq!(answer(&mut former, now, 9, 1, demands_of(500.0), FRESH, &[]), OwnerAnswer::Unconfirmed);
     former.refresh_owned(now + Duration::from_secs(9), FRESH, &[]);
-    assert!(!asks(&mut former, now + Duration::from_secs(9)));
+    assert!(!sends_demands(&mut former, now + Duration::from_secs(9)));
     former.view_changed(&view(2, &[1, 2, 3]));
-    assert_eq!(granted(&mut former, now, 9, 2, asked(500.0), FRESH).len(), 1);
+    assert_eq!(granted(&mut former, now, 9, 2, demands_of(500.0), FRESH).len(), 1);
 }
--- a/crates/control-plane/tests/unit/random_ids.rs
+++ b/crates/control-plane/tests/unit/random_ids.rs
@@ -1,4 +1,4 @@
-//! What a process draws can't be told from the time at which it draws it.
+//! Random ids can't be derived from the time at which they are generated.
 
 use std::collections::BTreeSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -7,36 +7,36 @@
 
 use super::*;
 
-/// What a generator gives that is seeded from a steady clock and the thread's number.
-fn drawn_from_the_clock(at: Instant) -> u64 {
+/// The first number of a generator seeded from the monotonic clock and the thread id.
+fn clock_seeded_id(at: Instant) -> u64 {
     let mut hasher = DefaultHasher::new();
     at.hash(&mut hasher);
     thread::current().id().hash(&mut hasher);
     fastrand::Rng::with_seed(hasher.finish()).u64(..)
 }
 
-/// Whether some moment between two gives that number.
-fn is_told_by_the_clock(drawn: u64, since: Instant, until: Instant) -> bool {
+/// Whether some instant in an interval, of at most 5 ms, gives this id.
+fn is_clock_seeded(id: u64, since: Instant, until: Instant) -> bool {
     let nanos = until.duration_since(since).as_nanos() as u64;
-    (0..=nanos.min(5_000_000)).any(|nano| drawn_from_the_clock(since + Duration::from_nanos(nano)) == drawn)
+    (0..=nanos.min(5_000_000)).any(|nano| clock_seeded_id(since + Duration::from_nanos(nano)) == id)
 }
 
 #[test]
-fn the_clock_doesnt_tell_what_is_drawn() {
-    // A thread of its own: nothing was drawn there before.
-    let told = thread::spawn(|| {
+fn ids_are_not_derived_from_the_clock() {
+    // A new thread, in which no id was generated before.
+    let is_predictable = thread::spawn(|| {
         let since = Instant::now();
-        let drawn = random_id();
-        is_told_by_the_clock(drawn, since, Instant::now())
+        let id = random_id();
+        is_clock_seeded(id, since, Instant::now())
     });
-    assert!(!told.join().unwrap(), "a process that starts at the same moment draws the same");
+    assert!(!is_predictable.join().unwrap(), "processes that start at the same instant get the same id");
 }
 
 #[test]
-fn no_number_is_drawn_twice() {
+fn ids_are_distinct() {
     let threads: Vec<_> =
         (0..8).map(|_| thread::spawn(|| (0..1_000).map(|_| random_id()).collect::<Vec<u64>>())).collect();
-    let drawn: Vec<u64> = threads.into_iter().flat_map(|thread| thread.join().unwrap()).collect();
-    assert_eq!(drawn.iter().collect::<BTreeSet<_>>().len(), drawn.len());
-    assert!(!drawn.contains(&0));
+    let ids: Vec<u64> = threads.into_iter().flat_map(|thread| thread.join().unwrap()).collect();
+    assert_eq!(ids.iter().collect::<BTreeSet<_>>().len(), ids.len());
+    assert!(!ids.contains(&0));
 }
--- a/crates/control-plane/tests/unit/sessions.rs
+++ b/crates/control-plane/tests/unit/sessions.rs
@@ -1,4 +1,4 @@
-//! A gateway that doesn't read is disconnected, whatever was for it.
+//! A gateway that doesn't read its updates is disconnected.
 
 use std::time::Duration;
 
--- a/crates/control-plane/tests/unit/settings_watch.rs
+++ b/crates/control-plane/tests/unit/settings_watch.rs
@@ -1,8 +1,8 @@
-//! A changed file is noticed once, an unsound one changes nothing.
+//! A change of the seeds is reported once, and an invalid settings_with_seeds is ignored.
 
 use super::*;
 
-fn file(seeds: &str) -> String {
+fn settings_with_seeds(seeds: &str) -> String {
     let lines = [
         "node=n",
         "role=r",
@@ -30,21 +30,21 @@
 }
 
 #[test]
-fn other_seeds_are_noticed_once() {
-    let folder = std::env::temp_dir().join(format!("crankpick-settings-watch-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let path = folder.join("machine.settings");
-    std::fs::write(&path, file("127.0.0.1:7001")).expect("written");
+fn changed_seeds_are_reported_once() {
+    let directory = std::env::temp_dir().join(format!("crankpick-settings-watch-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("a directory");
+    let path = directory.join("machine.settings");
+    std::fs::write(&path, settings_with_seeds("127.0.0.1:7001")).expect("written");
     let first = Settings::read(&path).expect("sound").internal_seeds();
     let log = Logger::root(slog::Discard, slog::o!());
     let mut watch = SettingsWatch::new(path.clone(), first, log);
     assert_eq!(watch.poll(), None);
-    std::fs::write(&path, file("127.0.0.2:7001,127.0.0.3:7001")).expect("written");
+    std::fs::write(&path, settings_with_seeds("127.0.0.2:7001,127.0.0.3:7001")).expect("written");
     let expected: Vec<SocketAddr> =
         ["127.0.0.2:7100", "127.0.0.3:7100"].iter().map(|seed| seed.parse().expect("an address")).collect();
     assert_eq!(watch.poll(), Some(expected));
     assert_eq!(watch.poll(), None);
-    std::fs::write(&path, "nothing of use").expect("written");
+    std::fs::write(&path, "invalid").expect("written");
     assert_eq!(watch.poll(), None);
-    std::fs::remove_dir_all(&folder).expect("removed");
+    std::fs::remove_dir_all(&directory).expect("removed");
 }
--- a/crates/control-plane/tests/unit/status.rs
+++ b/crates/control-plane/tests/unit/status.rs
@@ -1,4 +1,4 @@
-//! The keys of the status, by which operators and their tools read it.
+//! The keys of the status are stable, because operators and their tools depend on them.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -70,7 +70,7 @@
     replica
 }
 
-/// What a host without peers answers to an output.
+/// The input by which a host without peers responds to an output.
 fn answer(output: Output) -> Option<Input> {
     match output {
         Output::Persist { write_id, .. } => Some(Input::Persisted(write_id)),
@@ -83,7 +83,7 @@
     status_with(|_| {})
 }
 
-/// The status for inputs that are changed first.
+/// The status for modified inputs.
 fn status_with(change: impl FnOnce(&mut StatusInputs<'_>)) -> Value {
     let settings = RegistrySettings::new(Duration::from_secs(1));
     let replica = only_member();
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn the_status_warns_of_its_disk() {
+fn the_status_warns_of_disk_failures() {
     let healthy = status_with(|_| {});
     assert_eq!(healthy["warnings"].as_array().unwrap().len(), 1);
     let refusing = status_with(|inputs| inputs.disk_healthy = Some(false));
--- a/crates/control-plane/tests/unit/wire.rs
+++ b/crates/control-plane/tests/unit/wire.rs
@@ -1,4 +1,4 @@
-//! The bytes of messages between peers: those of earlier builds are read, and this build writes the same ones.
+//! The encoding of peer messages is stable: this build decodes messages of earlier builds and encodes the same bytes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 
 use super::PeerMessage;
 
-/// Compares the frame of a message with the fixture's, and what is read from the fixture with the message.
+/// Compares the encoded message with the fixture, and the decoded fixture with the message.
 async fn check_frame(name: &str, message: &PeerMessage) {
-    let written = encode(message).unwrap();
-    let frame = Fixtures::of(env!("CARGO_MANIFEST_DIR")).assert_hex(name, &written);
+    let encoded = encode(message).unwrap();
+    let frame = Fixtures::of(env!("CARGO_MANIFEST_DIR")).assert_hex(name, &encoded);
     let read = FrameReader::new(&frame[..]).next::<PeerMessage>().await.unwrap().unwrap();
     assert_eq!(format!("{read:?}"), format!("{message:?}"), "{name}");
 }
@@ -46,7 +46,7 @@
     let mut registry = Registry::new(Duration::ZERO, ProcessId(9), settings);
     let heard = registry.heartbeat(Duration::from_secs(1), "backend-1", heartbeat()).unwrap();
     let mut announcement = heard.announcement.unwrap();
-    // Not sent: the reader sets it by its own clock.
+    // Not encoded: the receiver sets it from its own clock.
     announcement.backends[0].warm_at = Duration::ZERO;
     announcement
 }
@@ -64,7 +64,7 @@
 }
 
 fn demands() -> Vec<TenantDemand> {
-    let claim = HeldLease {
+    let held_lease = HeldLease {
         token: 3,
         number: 4,
         rate: 5.5,
@@ -72,11 +72,11 @@
         debt: 7.125,
         remaining: Duration::new(2, 500),
     };
-    let demand = Demand { rate: 1.5, need: 2.5, level: -3.5, returned: 4.5, held_lease: Some(claim) };
-    let without_claim = Demand { held_lease: None, ..demand };
+    let demand = Demand { rate: 1.5, need: 2.5, level: -3.5, returned: 4.5, held_lease: Some(held_lease) };
+    let without_held_lease = Demand { held_lease: None, ..demand };
     vec![
         TenantDemand { tenant: "with-claim".into(), demand },
-        TenantDemand { tenant: "without".into(), demand: without_claim },
+        TenantDemand { tenant: "without".into(), demand: without_held_lease },
     ]
 }
 
@@ -101,7 +101,7 @@
 }
 
 #[tokio::test]
-async fn messages_between_peers_keep_their_bytes() {
+async fn peer_messages_keep_their_encoding() {
     let presence = |peers, wants_full_state| PeerMessage::Presence {
         process: ProcessId(51),
         zone: "zone-f".into(),
