--- a/crates/settings/benches/reading.rs
+++ b/crates/settings/benches/reading.rs
@@ -1,4 +1,4 @@
-//! How long settings take to read, the first time and again: `cargo bench -p crankpick-settings`.
+//! Measures the first and the average later parsing time of settings: `cargo bench -p crankpick-settings`.
 
 use std::hint::black_box;
 use std::path::Path;
@@ -10,14 +10,14 @@
 const ROUNDS: u32 = 1_000;
 
 fn main() {
-    let read =
+    let parse =
         || Settings::parse(Path::new("local.conf"), black_box(EXAMPLE.as_bytes())).expect("they are sound");
-    let begin = Instant::now();
-    black_box(read());
-    let first = begin.elapsed();
-    let begin = Instant::now();
+    let start = Instant::now();
+    black_box(parse());
+    let first = start.elapsed();
+    let start = Instant::now();
     for _ in 0..ROUNDS {
-        black_box(read());
+        black_box(parse());
     }
-    println!("settings: first reading {first:?}, each later {:?}", begin.elapsed() / ROUNDS);
+    println!("settings: first reading {first:?}, each later {:?}", start.elapsed() / ROUNDS);
 }
--- a/crates/settings/src/change.rs
+++ b/crates/settings/src/change.rs
@@ -1,41 +1,42 @@
-//! What settings that were read again have changed.
+//! The differences between reloaded settings and those in use.
 
 use crate::model::Settings;
 
-/// What differs between the settings in force and those read again.
+/// The differences between the settings in use and reloaded ones.
 ///
-/// A running process takes `seeds`, `bounds`, `limits`, `tolerate`, `contracts`, `zones` and `heartbeat` as they now
-/// are. What stands in `needs_restart` holds only from its next start; what is there besides is taken all the same.
+/// A running process can apply changes of `seeds`, `bounds`, `limits`, `tolerate`, `contracts`, `zones` and `heartbeat`.
+/// Changes of the keys in `needs_restart` take effect only at its next start, and don't prevent the others from being
+/// applied.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SettingsChange {
     /// The addresses of other machines.
     pub seeds: bool,
-    /// The figures of the rules.
+    /// The bounds of the contracts.
     pub bounds: bool,
-    /// What the machine has.
+    /// The resources of the machine.
     pub limits: bool,
-    /// What may be lost at once.
+    /// The failures to tolerate at a time.
     pub tolerate: bool,
-    /// The parts of the rules in force.
+    /// The contracts in force.
     pub contracts: bool,
     /// The zones and their regions.
     pub zones: bool,
     /// The interval of the backends' heartbeats.
     pub heartbeat: bool,
-    /// Keys that hold from the next start on.
+    /// Changed keys that take effect at the next start.
     pub needs_restart: Vec<&'static str>,
 }
 
 impl SettingsChange {
-    /// Whether nothing differs.
+    /// Whether there are no differences.
     pub fn is_empty(&self) -> bool {
         *self == SettingsChange::default()
     }
 }
 
 impl Settings {
-    /// What these settings, read again, change of the old ones.
-    pub fn changed_from(&self, old: &Settings) -> SettingsChange {
+    /// Compares these reloaded settings with the old ones.
+    pub fn diff(&self, old: &Settings) -> SettingsChange {
         SettingsChange {
             seeds: self.seeds != old.seeds,
             bounds: self.bounds != old.bounds,
@@ -44,12 +45,13 @@
             contracts: self.contracts != old.contracts,
             zones: self.zones != old.zones,
             heartbeat: self.heartbeat != old.heartbeat,
-            needs_restart: self.fixed_changes(old),
+            needs_restart: self.changed_restart_keys(old),
         }
     }
 
-    /// The settings that a running process goes on with: these, but for what holds only from the next start.
-    pub fn taken_live(self, old: &Settings) -> Settings {
+    /// The settings for a running process to continue with: these ones, except that keys that need a restart keep their old
+    /// values.
+    pub fn without_restart_changes(self, old: &Settings) -> Settings {
         Settings {
             seeds: self.seeds,
             bounds: self.bounds,
@@ -62,7 +64,7 @@
         }
     }
 
-    fn fixed_changes(&self, old: &Settings) -> Vec<&'static str> {
+    fn changed_restart_keys(&self, old: &Settings) -> Vec<&'static str> {
         let fixed = [
             ("node", self.node != old.node),
             ("role", self.role != old.role),
--- a/crates/settings/src/code.rs
+++ b/crates/settings/src/code.rs
@@ -1,76 +1,76 @@
-//! The numbered codes of unsound settings, and the error that bears one.
+//! The error codes of invalid settings, and the error type.
 
 use std::fmt;
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// Why settings were refused. The numbers are listed in `docs/codes.md`.
+/// Why settings were rejected. `docs/codes.md` lists the codes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SettingsCode {
-    /// The variable that names the file is not set.
-    NotNamed,
+    /// The environment variable with the path of the file is not set.
+    PathNotSet,
     /// The file can't be read.
     Unreadable,
-    /// The file is larger than any settings file may be.
+    /// The file exceeds the maximum size.
     TooLarge,
     /// A line is not of the form `a.b=value`.
-    Malformed,
-    /// A key that the process can't do without is absent or empty.
-    Missing,
-    /// A value is not a number, or not one in its key's bounds.
-    Number,
-    /// A value is not true or false.
-    Flag,
-    /// A value is not an IPv4 address, or not one with a port.
-    Address,
-    /// The range of ports is not two ports in rising order.
-    Ports,
+    MalformedLine,
+    /// A required key is absent or empty.
+    MissingKey,
+    /// A value is not a number or is out of range.
+    InvalidNumber,
+    /// A value is neither true nor false.
+    InvalidBoolean,
+    /// A value is not an IPv4 address, or lacks its port.
+    InvalidAddress,
+    /// The port range is not two ports in ascending order.
+    InvalidPortRange,
 }
 
 impl SettingsCode {
-    /// All codes, in the order of their numbers.
+    /// All codes in ascending order.
     pub const ALL: [SettingsCode; 9] = [
-        SettingsCode::NotNamed,
+        SettingsCode::PathNotSet,
         SettingsCode::Unreadable,
         SettingsCode::TooLarge,
-        SettingsCode::Malformed,
-        SettingsCode::Missing,
-        SettingsCode::Number,
-        SettingsCode::Flag,
-        SettingsCode::Address,
-        SettingsCode::Ports,
+        SettingsCode::MalformedLine,
+        SettingsCode::MissingKey,
+        SettingsCode::InvalidNumber,
+        SettingsCode::InvalidBoolean,
+        SettingsCode::InvalidAddress,
+        SettingsCode::InvalidPortRange,
     ];
 
-    /// The code as operators read it.
+    /// The code as shown to operators.
     pub fn as_str(self) -> &'static str {
         match self {
-            SettingsCode::NotNamed => "SET-101",
+            SettingsCode::PathNotSet => "SET-101",
             SettingsCode::Unreadable => "SET-102",
             SettingsCode::TooLarge => "SET-103",
-            SettingsCode::Malformed => "SET-104",
-            SettingsCode::Missing => "SET-105",
-            SettingsCode::Number => "SET-106",
-            SettingsCode::Flag => "SET-107",
-            SettingsCode::Address => "SET-108",
-            SettingsCode::Ports => "SET-109",
+            SettingsCode::MalformedLine => "SET-104",
+            SettingsCode::MissingKey => "SET-105",
+            SettingsCode::InvalidNumber => "SET-106",
+            SettingsCode::InvalidBoolean => "SET-107",
+            SettingsCode::InvalidAddress => "SET-108",
+            SettingsCode::InvalidPortRange => "SET-109",
         }
     }
 
-    /// What an operator does about it.
+    /// What an operator can do about it.
     pub fn remedy(self) -> &'static str {
         match self {
-            SettingsCode::NotNamed => "set CRANKPICK_SETTINGS to the path of the settings file",
+            SettingsCode::PathNotSet => "set CRANKPICK_SETTINGS to the path of the settings file",
             SettingsCode::Unreadable => "check the path and that this user may read the file",
             SettingsCode::TooLarge => "name a settings file, of 1 MiB at most",
-            SettingsCode::Malformed => "write the line as key=value in UTF-8",
-            SettingsCode::Missing => "add the key with its value",
-            SettingsCode::Number => "give a number within the bounds",
-            SettingsCode::Flag => "give true or false",
-            SettingsCode::Address => {
+            SettingsCode::MalformedLine => "write the line as key=value in UTF-8",
+            SettingsCode::MissingKey => "add the key with its value",
+            SettingsCode::InvalidNumber => "give a number within the bounds",
+            SettingsCode::InvalidBoolean => "give true or false",
+            SettingsCode::InvalidAddress => {
                 "give an IPv4 address, with a port where the key names a place to listen or call"
             }
-            SettingsCode::Ports => "give the first and the last port, as 7500,7515",
+            SettingsCode::InvalidPortRange => "give the first and the last port, as 7500,7515",
         }
     }
 }
@@ -81,21 +81,21 @@
     }
 }
 
-/// Settings that were refused, in one line: file, line where there is one, code, what is wrong, remedy.
+/// An error in settings. Displayed as one line with the file, the line if known, the code, the message and the remedy.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("{}: {code} {text}; {}", place(file, *line), code.remedy()))]
+#[snafu(display("{}: {code} {message}; {}", location(file, *line), code.remedy()))]
 pub struct SettingsError {
-    /// What kind of fault it is.
+    /// The code of the error.
     pub code: SettingsCode,
     /// The settings file.
     pub file: PathBuf,
-    /// The line at fault, the first being 1.
+    /// The number of the invalid line, starting at 1.
     pub line: Option<usize>,
-    /// What is wrong.
-    pub text: String,
+    /// The description of the error.
+    pub message: String,
 }
 
-fn place(file: &std::path::Path, line: Option<usize>) -> String {
+fn location(file: &std::path::Path, line: Option<usize>) -> String {
     match line {
         Some(line) => format!("{}:{line}", file.display()),
         None => file.display().to_string(),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! The settings file of a process: read by a library for its format, typed and checked.
+//! The settings file of a process, in the Java properties format, parsed into typed and validated values.
 //!
-//! [`Settings::read`] takes the file whole or refuses it in one line with a numbered code ([`SettingsCode`]); keys that
-//! it doesn't know are skipped, optional ones that are absent or empty take defaults. [`Settings::changed_from`] tells
-//! what a file that was read again has changed, and what of it a running process may take.
+//! [`Settings::read`] either accepts the whole file or rejects it with a one-line error and a code ([`SettingsCode`]).
+//! Unknown keys are ignored; optional keys that are absent or empty take defaults. [`Settings::diff`] tells which settings
+//! a reload has changed, and which of these changes a running process can apply.
 
 mod change;
 mod code;
--- a/crates/settings/src/model.rs
+++ b/crates/settings/src/model.rs
@@ -5,9 +5,9 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// In `serves`: clients call this process.
+/// The value in `serves` of a process that is called by clients.
 pub const ROLE_EDGE: &str = "edge";
-/// In `serves`: backends and the operator call this process.
+/// The value in `serves` of a process that is called by backends and the operator.
 pub const ROLE_CONTROL: &str = "control";
 
 /// The settings of one process.
@@ -19,37 +19,37 @@
     pub role: String,
     /// The machine's class.
     pub node_class: String,
-    /// Who calls this process from outside: [`ROLE_EDGE`], [`ROLE_CONTROL`], both or none.
+    /// The external callers of this process: [`ROLE_EDGE`], [`ROLE_CONTROL`], both or none.
     pub serves: Vec<String>,
-    /// The machine's own address.
+    /// The machine's address.
     pub ip: Ipv4Addr,
     /// The machine's zone.
     pub zone: String,
     /// The region of that zone.
     pub region: String,
-    /// All zones and the region of each, this machine's zone among them.
+    /// The region of each zone, including this machine's zone.
     pub zones: BTreeMap<String, String>,
-    /// Where to listen.
+    /// The addresses to listen on.
     pub listen: Listen,
-    /// The ports free for traffic inside the fleet.
+    /// The ports available for traffic within the fleet.
     pub port_range: PortRange,
-    /// The `control` addresses of other machines, all that is told of them.
+    /// The `control` addresses of other machines. The settings contain nothing else about them.
     pub seeds: Vec<SocketAddr>,
-    /// True at the first start of the whole system only.
+    /// True only at the first start of the whole system.
     pub bootstrap: bool,
-    /// Whether this machine counts for the quorum of the core.
+    /// Whether this machine counts towards the quorum of the core.
     pub counts_for_quorum: bool,
-    /// What the machine has.
+    /// The resources of the machine.
     pub limits: Limits,
-    /// The folder on the machine's disk, where it has one.
+    /// The data directory, if the machine has a disk.
     pub data_dir: Option<PathBuf>,
     /// The interval of the backends' heartbeats.
     pub heartbeat: Duration,
-    /// The parts of the rules that are in force.
+    /// The contracts that are in force.
     pub contracts: Vec<String>,
-    /// What may be lost at once with all rules kept.
+    /// The failures to tolerate at a time.
     pub tolerate: Tolerate,
-    /// The figures of the rules.
+    /// The bounds of the contracts.
     pub bounds: Bounds,
 }
 
@@ -64,17 +64,17 @@
         self.serves_role(ROLE_CONTROL)
     }
 
-    /// Where the fleet's own traffic to a control-plane process on this machine goes: to the first of the free ports.
+    /// The address of a control-plane process on this machine for traffic within the fleet: the first available port.
     pub fn internal_address(&self) -> SocketAddr {
         SocketAddr::new(IpAddr::V4(self.ip), self.port_range.first)
     }
 
-    /// The same of the seeds: all machines use the same ports.
+    /// The internal addresses of the seeds. All machines use the same ports.
     pub fn internal_seeds(&self) -> Vec<SocketAddr> {
         self.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), self.port_range.first)).collect()
     }
 
-    /// Whether a part of the rules is in force.
+    /// Whether a contract is in force.
     pub fn has_contract(&self, name: &str) -> bool {
         self.contracts.iter().any(|contract| contract == name)
     }
@@ -84,18 +84,18 @@
     }
 }
 
-/// Where a process listens; each address is present where the process serves what it is for.
+/// The addresses on which a process listens. Each is present if the process serves its callers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Listen {
     /// For clients.
     pub front: Option<SocketAddr>,
-    /// For the platform's question whether the process is ready.
+    /// For the platform's readiness checks.
     pub ready: Option<SocketAddr>,
     /// For backends and the operator.
     pub control: Option<SocketAddr>,
 }
 
-/// A range of ports, both ends in it.
+/// An inclusive range of ports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PortRange {
     /// The first port.
@@ -104,20 +104,20 @@
     pub last: u16,
 }
 
-/// What a machine has.
+/// The resources of a machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// The share of a core.
+    /// The share of a CPU core.
     pub cpu_share: f64,
-    /// How many times as fast that core runs.
+    /// The speed factor of that CPU core.
     pub cpus: f64,
-    /// Memory, in MB.
+    /// The memory in MB.
     pub memory_mb: u64,
-    /// Descriptors.
+    /// The maximum number of file descriptors.
     pub max_fds: u64,
-    /// The bandwidth of the machine's own link, in Mbit/s.
+    /// The bandwidth of the machine's network link in Mbit/s.
     pub link_mbps: f64,
-    /// The size of the disk in MB, where there is one.
+    /// The size of the disk in MB, if there is one.
     pub disk_mb: Option<u64>,
 }
 
@@ -134,10 +134,10 @@
     }
 }
 
-/// What may be lost at once with all rules kept.
+/// The numbers of simultaneous failures under which all contracts must still be met.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tolerate {
-    /// Machines that count for the quorum.
+    /// Machines that count towards the quorum.
     pub nodes: u32,
     /// Zones.
     pub zones: u32,
@@ -151,52 +151,52 @@
     }
 }
 
-/// The figures of the rules. The defaults are those of the deployments at hand.
+/// The bounds of the contracts. The defaults are those of the existing deployments.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// How far the list of `control` addresses lags.
+    /// The maximum delay until the list of `control` addresses is current.
     pub seed_lag: Duration,
-    /// How soon an ended backend's address may go to another service.
+    /// The minimum time until an ended backend's address may be reused by another service.
     pub reuse_after: Duration,
-    /// How long a machine must have been undisturbed to be in touch.
+    /// How long a machine must have been undisturbed to count as being in contact.
     pub contact: Duration,
-    /// Within which an order of the operator is acknowledged.
+    /// The time limit for acknowledging a change by the operator.
     pub ack: Duration,
-    /// How long a machine that is back counts as lost.
+    /// How long a machine that has returned still counts as lost.
     pub catch_up: Duration,
-    /// How long after the acknowledgement a draining backend may still be sent requests.
+    /// How long a draining backend may still be sent requests after the acknowledgement.
     pub drain: Duration,
-    /// From SIGTERM to SIGKILL.
+    /// The time between SIGTERM and SIGKILL.
     pub grace: Duration,
-    /// How long a read request may be at hand before a cut of it counts.
+    /// How long after being read a request may be cut off without counting as lost.
     pub loss_slack: Duration,
-    /// Within which an acknowledged configuration is in force.
+    /// The time limit for an acknowledged configuration to be in force.
     pub config_apply: Duration,
-    /// After which nothing may be handled as an older version alone allows.
+    /// The time after which no request may be handled in a way that only an older version allows.
     pub revert: Duration,
-    /// By how much an unstable core stretches `config_apply` at most.
+    /// The maximum extension of `config_apply` while the core is unstable.
     pub skew: Duration,
-    /// Whether withdrawn keys are bounded by `revoke`.
+    /// Whether `revoke` applies to revoked API keys.
     pub revoked: bool,
-    /// Within which a withdrawn key is out of force.
+    /// The time limit for a revoked API key to be rejected.
     pub revoke: Duration,
-    /// Repeats for each request of a service.
+    /// The number of retries per request of a service.
     pub retry_ratio: f64,
-    /// The window in which repeats are counted.
+    /// The window in which retries are counted.
     pub retry_window: Duration,
-    /// Repeats beyond the ratio.
+    /// The number of retries allowed beyond the ratio.
     pub retry_slack: f64,
     /// The window in which a tenant's requests are counted.
     pub quota_window: Duration,
     /// The share by which a quota may be exceeded.
     pub quota_over: f64,
-    /// What may come beyond that, in the quota's unit.
+    /// The amount allowed beyond that share, in the quota's unit.
     pub quota_slack: f64,
-    /// How soon after the final fault requests are served.
+    /// The time limit for serving requests again after the last fault.
     pub recover: Duration,
-    /// Within which an event of a stream is passed on.
+    /// The time limit for forwarding an event of a stream.
     pub pass: Duration,
-    /// How long a shared part counts as used lately.
+    /// How long a shared part counts as recently used.
     pub again: Duration,
 }
 
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -1,4 +1,4 @@
-//! From keys and values to typed settings.
+//! Parses keys and values into typed settings.
 
 use std::fs::File;
 use std::io::{self, Read};
@@ -11,12 +11,12 @@
 use crate::model::{Bounds, Limits, Listen, PortRange, Settings, Tolerate};
 use crate::properties::Properties;
 
-/// The variable that names the settings file.
+/// The environment variable with the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "CRANKPICK_SETTINGS";
-/// No settings file is larger.
+/// The maximum size of a settings file.
 const MAX_BYTES: u64 = 1 << 20;
-/// No figure in the settings is larger: a century in milliseconds, far beyond any time, size or count.
-const MAX_FIGURE: f64 = 3.2e12;
+/// The maximum of numeric values: a century in milliseconds, far beyond any useful time, size or count.
+const MAX_NUMBER: f64 = 3.2e12;
 const DEFAULT_HEARTBEAT: Duration = Duration::from_millis(1_200);
 
 /// The path of the settings file, from [`SETTINGS_VARIABLE`].
@@ -24,33 +24,33 @@
     match std::env::var_os(SETTINGS_VARIABLE) {
         Some(path) if !path.is_empty() => Ok(PathBuf::from(path)),
         _ => Err(SettingsError {
-            code: SettingsCode::NotNamed,
+            code: SettingsCode::PathNotSet,
             file: PathBuf::from(SETTINGS_VARIABLE),
             line: None,
-            text: "the settings file is not named".to_owned(),
+            message: "the path of the settings file is not set".to_owned(),
         }),
     }
 }
 
 impl Settings {
-    /// Reads a settings file, whole or not at all.
+    /// Reads a settings file. Fails if any part of it is invalid.
     pub fn read(path: impl AsRef<Path>) -> Result<Settings, SettingsError> {
         let path = path.as_ref();
-        Settings::parse(path, &content(path)?)
+        Settings::parse(path, &read_contents(path)?)
     }
 
-    /// Reads a settings file's bytes; the path is for messages alone.
+    /// Parses the contents of a settings file. The path is used only in error messages.
     pub fn parse(path: &Path, bytes: &[u8]) -> Result<Settings, SettingsError> {
         let properties = Properties::parse(path, bytes)?;
         let zone = required(&properties, "zone")?;
         let region = optional(&properties, "region");
-        let mut zones = owned_pairs(&properties, "zones.");
+        let mut zones = pairs(&properties, "zones.");
         zones.entry(zone.clone()).or_insert_with(|| region.clone());
         let settings = Settings {
             node: required(&properties, "node")?,
             role: optional(&properties, "role"),
             node_class: optional(&properties, "node_class"),
-            serves: owned_list(&properties, "serves"),
+            serves: list(&properties, "serves"),
             ip: ip(&properties)?,
             zone,
             region,
@@ -63,30 +63,31 @@
             limits: limits(&properties)?,
             data_dir: properties.text("data_dir").map(PathBuf::from),
             heartbeat: milliseconds(&properties, "heartbeat_ms", DEFAULT_HEARTBEAT)?,
-            contracts: owned_list(&properties, "contracts"),
+            contracts: list(&properties, "contracts"),
             tolerate: tolerate(&properties)?,
             bounds: bounds(&properties)?,
         };
-        listens_for_what_it_serves(&properties, &settings)?;
+        check_listen_addresses(&properties, &settings)?;
         Ok(settings)
     }
 }
 
-/// The bytes of a settings file.
-pub(crate) fn content(path: &Path) -> Result<Vec<u8>, SettingsError> {
-    let refused = |code, text| SettingsError { code, file: path.to_owned(), line: None, text };
-    let unreadable = |error: io::Error| refused(SettingsCode::Unreadable, error.to_string());
+/// Reads the contents of a settings file.
+pub(crate) fn read_contents(path: &Path) -> Result<Vec<u8>, SettingsError> {
+    let error = |code, message| SettingsError { code, file: path.to_owned(), line: None, message };
+    let unreadable = |cause: io::Error| error(SettingsCode::Unreadable, cause.to_string());
     let file = File::open(path).map_err(unreadable)?;
     let mut bytes = Vec::new();
     file.take(MAX_BYTES + 1).read_to_end(&mut bytes).map_err(unreadable)?;
     if bytes.len() as u64 > MAX_BYTES {
-        return Err(refused(SettingsCode::TooLarge, format!("the file is larger than {MAX_BYTES} bytes")));
+        return Err(error(SettingsCode::TooLarge, format!("the file is larger than {MAX_BYTES} bytes")));
     }
     Ok(bytes)
 }
 
-fn listens_for_what_it_serves(properties: &Properties, settings: &Settings) -> Result<(), SettingsError> {
-    let missing = |key: &str| properties.error(SettingsCode::Missing, "serves", format!("{key} is missing"));
+fn check_listen_addresses(properties: &Properties, settings: &Settings) -> Result<(), SettingsError> {
+    let missing =
+        |key: &str| properties.error(SettingsCode::MissingKey, "serves", format!("{key} is missing"));
     if settings.serves_edge() && settings.listen.front.is_none() {
         return Err(missing("listen.front"));
     }
@@ -151,7 +152,7 @@
 fn required(properties: &Properties, key: &str) -> Result<String, SettingsError> {
     match properties.text(key) {
         Some(value) => Ok(value.to_owned()),
-        None => Err(properties.error(SettingsCode::Missing, key, format!("{key} is missing"))),
+        None => Err(properties.error(SettingsCode::MissingKey, key, format!("{key} is missing"))),
     }
 }
 
@@ -159,18 +160,18 @@
     properties.text(key).unwrap_or_default().to_owned()
 }
 
-fn owned_list(properties: &Properties, key: &str) -> Vec<String> {
+fn list(properties: &Properties, key: &str) -> Vec<String> {
     properties.list(key).map(str::to_owned).collect()
 }
 
-fn owned_pairs(properties: &Properties, prefix: &str) -> std::collections::BTreeMap<String, String> {
-    properties.under(prefix).map(|(key, value)| (key.to_owned(), value.to_owned())).collect()
+fn pairs(properties: &Properties, prefix: &str) -> std::collections::BTreeMap<String, String> {
+    properties.with_prefix(prefix).map(|(key, value)| (key.to_owned(), value.to_owned())).collect()
 }
 
 fn ip(properties: &Properties) -> Result<Ipv4Addr, SettingsError> {
     let text = required(properties, "ip")?;
     Ipv4Addr::from_str(&text).map_err(|_| {
-        properties.error(SettingsCode::Address, "ip", format!("ip is not an IPv4 address: {text:?}"))
+        properties.error(SettingsCode::InvalidAddress, "ip", format!("ip is not an IPv4 address: {text:?}"))
     })
 }
 
@@ -195,8 +196,8 @@
     match parsed {
         Ok(address) => Ok(SocketAddr::V4(address)),
         Err(_) => {
-            let text = format!("{key} is not an address with a port: {text:?}");
-            Err(properties.error(SettingsCode::Address, key, text))
+            let message = format!("{key} is not an address with a port: {text:?}");
+            Err(properties.error(SettingsCode::InvalidAddress, key, message))
         }
     }
 }
@@ -204,13 +205,18 @@
 fn port_range(properties: &Properties) -> Result<PortRange, SettingsError> {
     let key = "port_range";
     let text = required(properties, key)?;
-    let unsound =
-        || properties.error(SettingsCode::Ports, key, format!("port_range is not two ports: {text:?}"));
-    let (first, last) = text.split_once(',').ok_or_else(unsound)?;
-    let first: u16 = first.trim().parse().map_err(|_| unsound())?;
-    let last: u16 = last.trim().parse().map_err(|_| unsound())?;
+    let invalid = || {
+        properties.error(
+            SettingsCode::InvalidPortRange,
+            key,
+            format!("port_range is not two ports in ascending order: {text:?}"),
+        )
+    };
+    let (first, last) = text.split_once(',').ok_or_else(invalid)?;
+    let first: u16 = first.trim().parse().map_err(|_| invalid())?;
+    let last: u16 = last.trim().parse().map_err(|_| invalid())?;
     if first == 0 || last < first {
-        return Err(unsound());
+        return Err(invalid());
     }
     Ok(PortRange { first, last })
 }
@@ -221,8 +227,8 @@
         Some("true") => Ok(true),
         Some("false") => Ok(false),
         Some(text) => {
-            let text = format!("{key} is neither true nor false: {text:?}");
-            Err(properties.error(SettingsCode::Flag, key, text))
+            let message = format!("{key} is neither true nor false: {text:?}");
+            Err(properties.error(SettingsCode::InvalidBoolean, key, message))
         }
     }
 }
@@ -232,10 +238,10 @@
         return Ok(None);
     };
     match f64::from_str(text) {
-        Ok(number) if (0.0..=MAX_FIGURE).contains(&number) => Ok(Some(number)),
+        Ok(number) if (0.0..=MAX_NUMBER).contains(&number) => Ok(Some(number)),
         _ => {
-            let text = format!("{key} is not a number from 0 on: {text:?}");
-            Err(properties.error(SettingsCode::Number, key, text))
+            let message = format!("{key} is not a number from 0 on: {text:?}");
+            Err(properties.error(SettingsCode::InvalidNumber, key, message))
         }
     }
 }
@@ -244,7 +250,7 @@
     match number(properties, key)? {
         None => Ok(default),
         Some(number) if number > 0.0 => Ok(number),
-        Some(_) => Err(properties.error(SettingsCode::Number, key, format!("{key} is 0"))),
+        Some(_) => Err(properties.error(SettingsCode::InvalidNumber, key, format!("{key} must be above 0"))),
     }
 }
 
--- a/crates/settings/src/properties.rs
+++ b/crates/settings/src/properties.rs
@@ -1,4 +1,4 @@
-//! The lines of a settings file: keys with their values and line numbers.
+//! The key-value pairs of a settings file, with their line numbers.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -7,14 +7,14 @@
 
 use crate::code::{SettingsCode, SettingsError};
 
-/// One value and where it stands.
+/// A value and its line number.
 #[derive(Clone, Debug)]
 struct Entry {
     value: String,
     line: usize,
 }
 
-/// All keys of a file. Of a key that stands twice the last holds, as the format has it.
+/// All keys of a file. The last occurrence of a duplicate key wins, as the format specifies.
 #[derive(Debug)]
 pub(crate) struct Properties {
     file: PathBuf,
@@ -22,13 +22,13 @@
 }
 
 impl Properties {
-    /// Reads the lines of a file's bytes.
+    /// Parses the contents of a file.
     pub(crate) fn parse(file: &Path, bytes: &[u8]) -> Result<Properties, SettingsError> {
-        let malformed = |line, text: String| SettingsError {
-            code: SettingsCode::Malformed,
+        let malformed = |line, message: String| SettingsError {
+            code: SettingsCode::MalformedLine,
             file: file.to_owned(),
             line,
-            text,
+            message,
         };
         if let Err(error) = std::str::from_utf8(bytes) {
             let line = 1 + bytes[..error.valid_up_to()].iter().filter(|byte| **byte == b'\n').count();
@@ -45,28 +45,28 @@
         Ok(Properties { file: file.to_owned(), entries })
     }
 
-    /// The value of a key, unless it is absent or empty.
+    /// The value of a key, or `None` if it is absent or empty.
     pub(crate) fn text(&self, key: &str) -> Option<&str> {
         let value = self.entries.get(key)?.value.as_str();
         (!value.is_empty()).then_some(value)
     }
 
-    /// The elements of a list, empty ones left out.
+    /// The non-empty elements of a comma-separated list.
     pub(crate) fn list(&self, key: &str) -> impl Iterator<Item = &str> {
         let value = self.text(key).unwrap_or_default();
         value.split(',').map(str::trim).filter(|element| !element.is_empty())
     }
 
-    /// What follows a prefix in keys, with their values.
-    pub(crate) fn under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a str)> {
+    /// The keys that begin with a prefix, without the prefix, and their values.
+    pub(crate) fn with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a str)> {
         self.entries
             .iter()
             .filter_map(move |(key, entry)| Some((key.strip_prefix(prefix)?, entry.value.as_str())))
     }
 
-    /// An error at a key's line.
-    pub(crate) fn error(&self, code: SettingsCode, key: &str, text: impl Into<String>) -> SettingsError {
+    /// Creates an error for the line of a key.
+    pub(crate) fn error(&self, code: SettingsCode, key: &str, message: impl Into<String>) -> SettingsError {
         let line = self.entries.get(key).map(|entry| entry.line);
-        SettingsError { code, file: self.file.clone(), line, text: text.into() }
+        SettingsError { code, file: self.file.clone(), line, message: message.into() }
     }
 }
--- a/crates/settings/src/watch.rs
+++ b/crates/settings/src/watch.rs
@@ -1,53 +1,54 @@
-//! A settings file that may change without a signal: looked at now and then, taken once it rests.
+//! Detects changes of a settings file by polling, and reloads it once it has stopped changing.
 
 use std::path::{Path, PathBuf};
 
 use crate::code::SettingsError;
 use crate::model::Settings;
-use crate::parse::content;
+use crate::parse::read_contents;
 
-/// Looks at a settings file again and again. A file that is being written is not taken half: its bytes must be the
-/// same at two looks, one after the other.
+/// Polls a settings file for changes. To avoid loading a partially written file, its contents must be the same in two
+/// consecutive polls.
 #[derive(Debug)]
 pub struct SettingsWatch {
     path: PathBuf,
-    judged: Vec<u8>,
-    seen: Option<Vec<u8>>,
+    loaded: Vec<u8>,
+    candidate: Option<Vec<u8>>,
 }
 
 impl SettingsWatch {
-    /// Reads the settings, and begins to watch their file.
-    pub fn begin(path: impl AsRef<Path>) -> Result<(Settings, SettingsWatch), SettingsError> {
+    /// Reads the settings and starts watching their file.
+    pub fn start(path: impl AsRef<Path>) -> Result<(Settings, SettingsWatch), SettingsError> {
         let path = path.as_ref().to_owned();
-        let judged = content(&path)?;
-        let settings = Settings::parse(&path, &judged)?;
-        Ok((settings, SettingsWatch { path, judged, seen: None }))
+        let loaded = read_contents(&path)?;
+        let settings = Settings::parse(&path, &loaded)?;
+        Ok((settings, SettingsWatch { path, loaded, candidate: None }))
     }
 
-    /// One look: none while there is nothing new that rests, or the file can't be read.
-    pub fn look(&mut self) -> Option<Result<Settings, SettingsError>> {
-        let bytes = content(&self.path).ok()?;
-        if bytes == self.judged {
-            self.seen = None;
+    /// Polls the file once. Returns `None` if the file is unchanged, has not yet been the same in two polls, or can't be
+    /// read.
+    pub fn poll(&mut self) -> Option<Result<Settings, SettingsError>> {
+        let bytes = read_contents(&self.path).ok()?;
+        if bytes == self.loaded {
+            self.candidate = None;
             return None;
         }
-        if self.seen.as_ref() != Some(&bytes) {
-            self.seen = Some(bytes);
+        if self.candidate.as_ref() != Some(&bytes) {
+            self.candidate = Some(bytes);
             return None;
         }
-        Some(self.judge(bytes))
+        Some(self.load(bytes))
     }
 
-    /// Reads the file at once, as when told that it has changed.
+    /// Reads the file immediately, for example after a signal that it has changed.
     pub fn read_now(&mut self) -> Result<Settings, SettingsError> {
-        let bytes = content(&self.path)?;
-        self.judge(bytes)
+        let bytes = read_contents(&self.path)?;
+        self.load(bytes)
     }
 
-    fn judge(&mut self, bytes: Vec<u8>) -> Result<Settings, SettingsError> {
+    fn load(&mut self, bytes: Vec<u8>) -> Result<Settings, SettingsError> {
         let settings = Settings::parse(&self.path, &bytes);
-        self.judged = bytes;
-        self.seen = None;
+        self.loaded = bytes;
+        self.candidate = None;
         settings
     }
 }
--- a/crates/settings/tests/arbitrary.rs
+++ b/crates/settings/tests/arbitrary.rs
@@ -1,4 +1,4 @@
-//! Arbitrary bytes are read or refused; nothing else happens.
+//! Arbitrary bytes are either parsed or rejected with a one-line error, without a panic.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 
 const EXAMPLE: &str = include_str!("documents/example.conf");
 
-fn parse(bytes: &[u8]) -> bool {
+fn parses_or_fails_cleanly(bytes: &[u8]) -> bool {
     match Settings::parse(Path::new("local.conf"), bytes) {
         Ok(_) => true,
         Err(error) => error.to_string().lines().count() == 1,
@@ -15,27 +15,27 @@
 }
 
 quickcheck! {
-    fn bytes_without_meaning(bytes: Vec<u8>) -> bool {
-        parse(&bytes)
+    fn arbitrary_bytes(bytes: Vec<u8>) -> bool {
+        parses_or_fails_cleanly(&bytes)
     }
 
-    fn text_without_meaning(text: String) -> bool {
-        parse(text.as_bytes())
+    fn arbitrary_text(text: String) -> bool {
+        parses_or_fails_cleanly(text.as_bytes())
     }
 
-    fn the_example_with_bytes_exchanged(places: Vec<(usize, u8)>) -> bool {
+    fn example_with_replaced_bytes(replacements: Vec<(usize, u8)>) -> bool {
         let mut bytes = EXAMPLE.as_bytes().to_vec();
-        for (place, byte) in places {
-            let place = place % bytes.len();
-            bytes[place] = byte;
+        for (position, byte) in replacements {
+            let position = position % bytes.len();
+            bytes[position] = byte;
         }
-        parse(&bytes)
+        parses_or_fails_cleanly(&bytes)
     }
 
-    fn the_example_with_text_put_in(place: usize, text: String) -> bool {
+    fn example_with_inserted_text(position: usize, text: String) -> bool {
         let mut bytes = EXAMPLE.as_bytes().to_vec();
-        let place = place % bytes.len();
-        bytes.splice(place..place, text.bytes());
-        parse(&bytes)
+        let position = position % bytes.len();
+        bytes.splice(position..position, text.bytes());
+        parses_or_fails_cleanly(&bytes)
     }
 }
--- a/crates/settings/tests/changes.rs
+++ b/crates/settings/tests/changes.rs
@@ -1,4 +1,4 @@
-//! What settings that were read again change, and what a running process takes of them.
+//! Differences between reloaded settings and the old ones, and which of them a running process applies.
 
 use std::path::Path;
 
@@ -7,24 +7,24 @@
 const EXAMPLE: &str = include_str!("documents/example.conf");
 
 fn parse(text: &str) -> Settings {
-    Settings::parse(Path::new("local.conf"), text.as_bytes()).expect("they are sound")
+    Settings::parse(Path::new("local.conf"), text.as_bytes()).expect("valid settings")
 }
 
-/// What another value for a line of the example changes.
-fn change(line: &str, other: &str) -> SettingsChange {
+/// The differences after replacing a line of the example.
+fn change(line: &str, replacement: &str) -> SettingsChange {
     assert!(EXAMPLE.contains(line));
-    parse(&EXAMPLE.replace(line, other)).changed_from(&parse(EXAMPLE))
+    parse(&EXAMPLE.replace(line, replacement)).diff(&parse(EXAMPLE))
 }
 
 #[test]
-fn nothing() {
+fn equal_settings_have_no_differences() {
     let settings = parse(EXAMPLE);
-    assert!(settings.changed_from(&settings).is_empty());
+    assert!(settings.diff(&settings).is_empty());
     assert!(change("entry=vip", "entry=list").is_empty());
 }
 
 #[test]
-fn what_may_be_taken_live() {
+fn changes_that_a_running_process_applies() {
     let none = SettingsChange::default();
     let seeds = change("10.5.0.18:8367", "10.5.0.19:8367");
     assert_eq!(seeds, SettingsChange { seeds: true, ..none.clone() });
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn what_holds_from_the_next_start() {
+fn changes_that_need_a_restart() {
     let changes = [
         ("node=edge-east-1", "node=edge-east-2", "node"),
         ("role=control-plane", "role=gate", "role"),
@@ -57,19 +57,19 @@
         ("counts_for_quorum=true", "counts_for_quorum=false", "counts_for_quorum"),
         ("data_dir=/data/control-plane", "data_dir=/data/other", "data_dir"),
     ];
-    for (line, other, key) in changes {
+    for (line, replacement, key) in changes {
         let expected = SettingsChange { needs_restart: vec![key], ..SettingsChange::default() };
-        assert_eq!(change(line, other), expected);
+        assert_eq!(change(line, replacement), expected);
     }
     assert_eq!(change("\nzone=east", "\nzone=west").needs_restart, ["zone"]);
 }
 
 #[test]
-fn a_running_process_keeps_what_holds_from_the_next_start() {
+fn running_process_keeps_values_that_need_a_restart() {
     let old = parse(EXAMPLE);
     let new =
         parse(&EXAMPLE.replace("bounds.drain_ms=2100", "bounds.drain_ms=1000").replace("=true", "=false"));
-    let live = new.clone().taken_live(&old);
+    let live = new.clone().without_restart_changes(&old);
     assert_eq!(live.bounds, new.bounds);
     assert_eq!(Settings { bounds: old.bounds, ..live }, old);
 }
