--- a/crates/control-plane/tests/hosts/patches.rs
+++ b/crates/control-plane/tests/hosts/patches.rs
@@ -111,7 +111,7 @@
 #[test]
 fn exactly_one_of_competing_patches_and_replacements_is_committed() {
     let cluster = cluster_of_three();
-    let patches: Vec<String> = (0..4).map(|index| patch_adding_route(6, &format!("rival{index}"))).collect();
+    let patches: Vec<String> = (0..4).map(|index| patch_adding_route(6, &format!("patch{index}"))).collect();
     let replacements: Vec<String> =
         (0..2).map(|index| document(6, &["a", &format!("whole{index}")]).to_string()).collect();
     let competing: Vec<(usize, Method, &str, &str, &str)> =
--- a/crates/control-plane/tests/unit/wire.rs
+++ b/crates/control-plane/tests/unit/wire.rs
@@ -44,8 +44,8 @@
 fn backends() -> Announcement {
     let settings = RegistrySettings::new(Duration::from_secs(1));
     let mut registry = Registry::new(Duration::ZERO, ProcessId(9), settings);
-    let heard = registry.heartbeat(Duration::from_secs(1), "backend-1", heartbeat()).unwrap();
-    let mut announcement = heard.announcement.unwrap();
+    let outcome = registry.heartbeat(Duration::from_secs(1), "backend-1", heartbeat()).unwrap();
+    let mut announcement = outcome.announcement.unwrap();
     // Not encoded: the receiver sets it from its own clock.
     announcement.backends[0].warm_at = Duration::ZERO;
     announcement
--- a/crates/system/src/cli.rs
+++ b/crates/system/src/cli.rs
@@ -9,34 +9,34 @@
 use slog::Logger;
 use snafu::{ensure, ResultExt};
 
-use crate::error::{InvalidConfigurationSnafu, NoStatusSnafu, NotTakenSnafu, SystemError};
+use crate::error::{InvalidConfigurationSnafu, RequestFailedSnafu, RequestRejectedSnafu, SystemError};
 use crate::signals;
 
-/// How long a process may take to answer `status`.
-const STATUS_TIMEOUT: Duration = Duration::from_secs(3);
+/// The timeout of requests to a control-plane process.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A router fleet for language models.
 #[derive(Parser)]
 #[command(name = "crankpick-system", version, about = "A router fleet for language models")]
 pub struct Cli {
-    /// Which log lines are written
+    /// The minimum level of log lines
     #[arg(long, value_enum, default_value_t = Level::Info, global = true)]
     log: Level,
-    /// What to do
+    /// The command to run
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// Which log lines are written.
+/// The minimum level of log lines.
 #[derive(Clone, Copy, ValueEnum)]
 pub enum Level {
-    /// Errors alone
+    /// Only errors
     Error,
     /// Errors and warnings
     Warning,
-    /// What an operator should see
+    /// Errors, warnings and informational lines
     Info,
-    /// All
+    /// All lines
     Debug,
 }
 
@@ -52,22 +52,22 @@
     }
 }
 
-/// The verbs of the command line.
+/// The subcommands.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Carry clients' requests and streams
+    /// Run a gateway, which forwards clients' requests and streams
     Gate(Role),
-    /// Keep the configuration and the list of backends
+    /// Run a control-plane process, which stores the configuration and the list of backends
     ControlPlane(Role),
-    /// Say whether a settings file, or an operator's configuration (.json), would do
+    /// Validate a settings file, or an operator's configuration (.json)
     Check(Check),
-    /// Say how things stand at a process of the control plane
+    /// Print the status of a control-plane process
     Status(Status),
-    /// Declare that a machine of the control plane is gone for good, so that nothing waits for it any more
+    /// Declare that a control-plane machine is permanently gone, so that no operation waits for it
     Gone(Gone),
 }
 
-/// Arguments of a role.
+/// Arguments of the commands that run a process.
 #[derive(Args)]
 pub struct Role {
     /// The settings file
@@ -76,7 +76,7 @@
 }
 
 impl Role {
-    /// The settings, and the path of their file, which is watched later.
+    /// Reads the settings. Also returns the path of their file, which is watched for changes.
     pub fn settings(&self) -> Result<(PathBuf, Settings), SystemError> {
         let settings = Settings::read(&self.settings)?;
         Ok((self.settings.clone(), settings))
@@ -86,7 +86,7 @@
 /// Arguments of `check`.
 #[derive(Args)]
 pub struct Check {
-    /// The file
+    /// The file to validate
     file: PathBuf,
 }
 
@@ -108,7 +108,7 @@
     machine: SocketAddr,
 }
 
-/// Runs a process of the control plane.
+/// Runs a control-plane process.
 pub fn control_plane((path, settings): &(PathBuf, Settings), log: Logger) -> Result<(), SystemError> {
     let runtime = signals::runtime()?;
     runtime.block_on(async {
@@ -118,7 +118,7 @@
     })
 }
 
-/// Checks a file.
+/// Validates a file.
 pub fn check(check: &Check) -> Result<(), SystemError> {
     if check.file.extension().is_some_and(|extension| extension == "json") {
         return check_configuration(check);
@@ -131,21 +131,22 @@
     Ok(())
 }
 
-/// What sound settings ask for that may not come about. One file tells of one machine alone: the status of a running
-/// core tells what it bears.
+/// Warnings about valid settings whose fault tolerance may not be achievable. The settings describe only one machine; the
+/// status of a running process shows the actual fault tolerance.
 fn hints(settings: &Settings) -> Vec<String> {
     let tolerated = settings.tolerate.nodes as usize;
     let needed = 2 * tolerated + 1;
     let mut hints = Vec::new();
     if tolerated > 0 && settings.counts_for_quorum && settings.data_dir.is_none() {
         hints.push(
-            "SYS-108: counts_for_quorum without data_dir: what it holds is lost with its process".into(),
+            "SYS-108: counts_for_quorum without data_dir: the state of the process is lost when it ends"
+                .into(),
         );
     }
     if tolerated > 0 && !settings.seeds.is_empty() && settings.seeds.len() < needed {
         let seeds = settings.seeds.len();
         hints.push(format!(
-            "SYS-109: tolerate.nodes={tolerated} needs {needed} members, seeds name {seeds}; see that more count"
+            "SYS-109: tolerate.nodes={tolerated} needs {needed} members, but there are only {seeds} seeds; add members if no others exist"
         ));
     }
     hints
@@ -158,30 +159,30 @@
     Ok(())
 }
 
-/// Prints a status.
+/// Prints the status of a control-plane process.
 pub fn status(status: &Status) -> Result<(), SystemError> {
     let runtime = signals::runtime()?;
     let url = format!("http://{}/v1/status", status.at);
     let text: Result<String, reqwest::Error> = runtime.block_on(async {
-        let client = reqwest::Client::builder().timeout(STATUS_TIMEOUT).build()?;
+        let client = reqwest::Client::builder().timeout(REQUEST_TIMEOUT).build()?;
         client.get(url).send().await?.error_for_status()?.text().await
     });
-    println!("{}", text.context(NoStatusSnafu)?);
+    println!("{}", text.context(RequestFailedSnafu)?);
     Ok(())
 }
 
-/// Declares that a machine is gone.
+/// Declares that a machine is permanently gone.
 pub fn gone(gone: &Gone) -> Result<(), SystemError> {
     let runtime = signals::runtime()?;
     let url = format!("http://{}/v1/machines/{}", gone.at, gone.machine);
-    let answer: Result<(reqwest::StatusCode, String), reqwest::Error> = runtime.block_on(async {
-        let client = reqwest::Client::builder().timeout(STATUS_TIMEOUT).build()?;
+    let response: Result<(reqwest::StatusCode, String), reqwest::Error> = runtime.block_on(async {
+        let client = reqwest::Client::builder().timeout(REQUEST_TIMEOUT).build()?;
         let response = client.delete(url).send().await?;
         Ok((response.status(), response.text().await?))
     });
-    let (status, text) = answer.context(NoStatusSnafu)?;
-    ensure!(status.is_success(), NotTakenSnafu { text });
-    println!("{}: nothing waits for it any more", gone.machine);
+    let (status, body) = response.context(RequestFailedSnafu)?;
+    ensure!(status.is_success(), RequestRejectedSnafu { body });
+    println!("{}: declared gone", gone.machine);
     Ok(())
 }
 
--- a/crates/system/src/error.rs
+++ b/crates/system/src/error.rs
@@ -1,4 +1,4 @@
-//! What ends a program of the fleet, or a command of an operator, with a non-zero exit.
+//! Errors that terminate the program or an operator's command with a non-zero exit status.
 
 use std::net::SocketAddr;
 
@@ -8,69 +8,69 @@
 use crankpick_control_plane::ControlPlaneError;
 use crankpick_settings::SettingsError;
 
-/// An error that ends the program. Its text begins with its code of `docs/codes.md`.
+/// An error that terminates the program. Its message starts with its code from `docs/codes.md`.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum SystemError {
-    /// A control-plane process didn't answer `status`.
-    #[snafu(display("SYS-101: no status: {source}"))]
-    NoStatus {
+    /// A request to a control-plane process failed.
+    #[snafu(display("SYS-101: the request failed: {source}"))]
+    RequestFailed {
         /// The HTTP client's error.
         source: reqwest::Error,
     },
     /// The asynchronous runtime can't be started.
-    #[snafu(display("SYS-102: no runtime: {source}"))]
+    #[snafu(display("SYS-102: can't start the asynchronous runtime: {source}"))]
     Runtime {
-        /// The system's error.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// A signal handler can't be installed.
-    #[snafu(display("SYS-103: signals can't be heard: {source}"))]
+    #[snafu(display("SYS-103: can't install the signal handlers: {source}"))]
     Signals {
-        /// The system's error.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// The role `gate` needs an address for clients.
-    #[snafu(display("SYS-104: the settings lack listen.front"))]
+    #[snafu(display("SYS-104: missing setting: listen.front"))]
     FrontMissing,
     /// The role `gate` needs an address for the platform's readiness checks.
-    #[snafu(display("SYS-105: the settings lack listen.ready"))]
+    #[snafu(display("SYS-105: missing setting: listen.ready"))]
     ReadyMissing,
     /// The address for clients can't be bound.
-    #[snafu(display("SYS-106: {address}: {source}"))]
+    #[snafu(display("SYS-106: can't listen on {address}: {source}"))]
     FrontUnavailable {
         /// The address in the settings.
         address: SocketAddr,
-        /// The system's error.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The settings file can't be read, or isn't valid.
+    /// The settings file can't be read or isn't valid.
     #[snafu(transparent)]
     Settings {
-        /// The finding, with file, line and remedy.
+        /// The cause, with file, line and remedy.
         source: SettingsError,
     },
-    /// The control plane's host ended with an error.
+    /// The control-plane process failed.
     #[snafu(transparent)]
     ControlPlane {
-        /// The host's error.
+        /// The cause.
         source: ControlPlaneError,
     },
-    /// A process of the control plane refused a request.
-    #[snafu(display("SYS-110: not taken: {text}"))]
-    NotTaken {
-        /// The body of the answer, with a code of its own.
-        text: String,
+    /// A control-plane process rejected a request.
+    #[snafu(display("SYS-110: the request was rejected: {body}"))]
+    RequestRejected {
+        /// The body of the response, with its own code.
+        body: String,
     },
     /// An operator's configuration isn't valid.
-    #[snafu(display("{}", one_a_line(findings)))]
+    #[snafu(display("{}", one_per_line(findings)))]
     InvalidConfiguration {
-        /// All that is wrong with it.
+        /// All findings.
         findings: Vec<Finding>,
     },
 }
 
-fn one_a_line(findings: &[Finding]) -> String {
+fn one_per_line(findings: &[Finding]) -> String {
     let lines: Vec<String> = findings.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
--- a/crates/system/src/gate.rs
+++ b/crates/system/src/gate.rs
@@ -1,4 +1,4 @@
-//! A gateway's process: the data plane, its readiness, and its link to the control plane.
+//! A gateway process: the data plane, its readiness endpoint, and its link to the control plane.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -16,13 +16,14 @@
 use crate::home_link::HomeLink;
 use crate::{ready, signals};
 
-/// Between two lines of counters in the log.
+/// The interval at which counters are logged.
 const COUNTERS_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Runs until SIGTERM and the end of the requests in flight.
+/// Runs until SIGTERM, and then until the requests in flight have ended.
 ///
 /// # Errors
-/// The settings lack an address, or it can't be bound (SYS-102 to SYS-106).
+///
+/// If the runtime or a signal handler can't be set up, an address is missing, or it can't be bound (SYS-102 to SYS-106).
 pub fn run((_, settings): &(PathBuf, Settings), log: Logger) -> Result<(), SystemError> {
     signals::runtime()?.block_on(serve(settings, log))
 }
@@ -34,7 +35,7 @@
     let listener = TcpListener::bind(front).await.context(FrontUnavailableSnafu { address: front })?;
     let terminate = signals::terminated()?;
     let shared = Shared::new(gateway_settings(settings, started), log.clone());
-    tokio::spawn(announce_readiness(ready_at, Arc::clone(&shared), log.clone()));
+    tokio::spawn(serve_readiness(ready_at, Arc::clone(&shared), log.clone()));
     tokio::spawn(HomeLink::new(settings, started, Arc::clone(&shared), log.clone()).run());
     tokio::spawn(log_counters(Arc::clone(&shared), log.clone()));
     info!(log, "started"; "front" => %front);
@@ -72,9 +73,9 @@
     }
 }
 
-async fn announce_readiness(address: std::net::SocketAddr, shared: Arc<Shared>, log: Logger) {
+async fn serve_readiness(address: std::net::SocketAddr, shared: Arc<Shared>, log: Logger) {
     if let Err(cause) = ready::serve(address, shared).await {
-        error!(log, "readiness can't be asked for"; "code" => "SYS-107", "cause" => %cause);
+        error!(log, "can't serve readiness checks"; "code" => "SYS-107", "cause" => %cause);
     }
 }
 
@@ -87,18 +88,18 @@
     }
 }
 
-/// Causes and how often each came, those that never came aside.
+/// The nonzero event counts, by cause.
 fn counts(shared: &Shared) -> String {
     let counts = shared.counts().into_iter().filter(|count| count.number > 0);
-    let words: Vec<String> = counts.map(|count| format!("{}={}", count.name, count.number)).collect();
-    words.join(" ")
+    let pairs: Vec<String> = counts.map(|count| format!("{}={}", count.name, count.number)).collect();
+    pairs.join(" ")
 }
 
-/// Why clients' connections ended, how often, and the shortest rest before such an end.
+/// The number of ended client connections by reason, each with the shortest idle time before such an end.
 fn ends(shared: &Shared) -> String {
-    let words = shared.connection_ends().into_iter().map(|end| match end.least_rest {
+    let entries = shared.connection_ends().into_iter().map(|end| match end.least_rest {
         Some(least) => format!("{}={} rest>={:.3}s", end.name, end.number, least.as_secs_f64()),
         None => format!("{}={}", end.name, end.number),
     });
-    words.collect::<Vec<_>>().join(" ")
+    entries.collect::<Vec<_>>().join(" ")
 }
--- a/crates/system/src/home_link.rs
+++ b/crates/system/src/home_link.rs
@@ -1,4 +1,4 @@
-//! The gateway's connections to the control plane: one to its home, for a moment another while it changes homes.
+//! The gateway's connections to the control plane: one to its home, and briefly a second one while it switches homes.
 
 mod configuration_slot;
 mod connection;
@@ -27,12 +27,13 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 /// `TCP_USER_TIMEOUT`: how long sent bytes may go unacknowledged.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Events of all connections that may wait for the link.
+/// The capacity of the event queue shared by all connections.
 const MAX_QUEUED_EVENTS: usize = 256;
-/// A process that has heard of no fresh configuration serves by what it has after this time from its start.
+/// How long after its start a process waits for a fresh configuration before it serves with the one that it has.
 const STALE_CONFIGURATION_AFTER: Duration = Duration::from_millis(300);
 
-/// All that a gateway receives from the control plane: who to follow, the configuration, backends, quotas.
+/// Receives the gateway's updates from the control plane: members to choose a home from, the configuration, backends and
+/// quotas.
 pub struct HomeLink {
     started: Instant,
     shared: Arc<Shared>,
@@ -52,7 +53,7 @@
 }
 
 impl HomeLink {
-    /// A link that knows the settings alone.
+    /// Creates a link that knows only the settings.
     pub fn new(settings: &Settings, started: Instant, shared: Arc<Shared>, log: Logger) -> Self {
         let (events, queue) = channel(MAX_QUEUED_EVENTS);
         let identity = GatewayIdentity {
@@ -86,12 +87,12 @@
         }
     }
 
-    /// Follows the control plane until the process ends.
+    /// Receives updates from the control plane until the process ends.
     pub async fn run(mut self) {
         loop {
             let now = self.now();
             for action in self.selector.poll(now) {
-                self.carry_out(action);
+                self.perform(action);
             }
             if now >= self.next_report_at {
                 self.next_report_at = now + REPORT_INTERVAL;
@@ -101,8 +102,8 @@
             let wake = self.selector.next_poll_at(now).min(self.next_report_at);
             tokio::select! {
                 event = self.queue.recv() => match event {
-                    Some(Event::Update(home, update)) => self.on_update(home, update),
-                    Some(Event::Closed(home)) => self.on_closed(home),
+                    Some(Event::Update(home, update)) => self.handle_update(home, update),
+                    Some(Event::Closed(home)) => self.handle_closed(home),
                     None => return,
                 },
                 _ = sleep_until(self.started + wake) => {}
@@ -115,7 +116,7 @@
         self.started.elapsed()
     }
 
-    fn carry_out(&mut self, action: HomeAction) {
+    fn perform(&mut self, action: HomeAction) {
         match action {
             HomeAction::Dial(home) => self.dial(home),
             HomeAction::Follow(home) => self.follow(home),
@@ -129,7 +130,7 @@
         let (reports, queue) = channel(MAX_QUEUED_REPORTS);
         let (identity, options, events) = (self.identity.clone(), self.options, self.events.clone());
         tokio::spawn(async move {
-            // Whatever ended it, another dial is the selector's to make.
+            // The cause is ignored: the selector decides whether to reconnect.
             let _cause = connection::run(home, identity, options, queue, &events).await;
             let _ended = events.send(Event::Closed(home)).await;
         });
@@ -146,7 +147,7 @@
         self.confirm_configuration();
     }
 
-    fn on_closed(&mut self, home: SocketAddr) {
+    fn handle_closed(&mut self, home: SocketAddr) {
         if self.connections.remove(&home).is_some() {
             self.selector.record_failure(self.now(), home);
         }
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Quotas are asked of the home that is followed alone.
+    /// Sends a report. Quota demands are sent only to the followed home.
     fn report(&mut self, home: SocketAddr, followed: bool) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(&home) else { return };
@@ -176,7 +177,7 @@
         connection.send(now, report);
     }
 
-    fn on_update(&mut self, home: SocketAddr, update: HomeUpdate) {
+    fn handle_update(&mut self, home: SocketAddr, update: HomeUpdate) {
         let now = self.now();
         let followed = self.selector.followed_home() == Some(home);
         let Some(connection) = self.connections.get_mut(&home) else { return };
@@ -189,20 +190,20 @@
             self.selector.record_answer(now, home, HomeStatus { configuration_age: age });
         }
         if followed {
-            // An update that answers nothing counts from the last report: a lease runs from when it was asked for.
-            let asked_at = sent_at.or(last_report_at).unwrap_or(now);
-            self.renew_quotas(asked_at, &update);
+            // Leases start when they are requested. An unsolicited update counts from the last report.
+            let requested_at = sent_at.or(last_report_at).unwrap_or(now);
+            self.renew_quotas(requested_at, &update);
             self.apply(update);
             self.confirm_configuration();
         } else if !connection.defer(update) {
-            self.on_closed(home);
+            self.handle_closed(home);
         }
     }
 
-    fn renew_quotas(&mut self, asked_at: Now, update: &HomeUpdate) {
+    fn renew_quotas(&mut self, requested_at: Now, update: &HomeUpdate) {
         self.grant_source = GrantSource::home(update.home.0);
         for granted in &update.grants {
-            self.shared.quota_renewed(asked_at, &granted.tenant, granted.grant);
+            self.shared.quota_renewed(requested_at, &granted.tenant, granted.grant);
         }
     }
 
@@ -233,7 +234,8 @@
         }
     }
 
-    /// All that the home has sent up to its last answer is applied: what is in force is as new as its home's state.
+    /// Confirms that the configuration in force is as new as the home's state, because everything that the home sent up to
+    /// its last answer is applied.
     fn confirm_configuration(&self) {
         if !self.configuration.newest_is_in_force() {
             return;
@@ -244,7 +246,7 @@
         }
     }
 
-    /// A process that hears of nothing fresh serves by the newest configuration that it has received.
+    /// Activates the newest received configuration if no fresh one has arrived in time after the start.
     fn publish_stale_configuration(&mut self) {
         if self.now() >= STALE_CONFIGURATION_AFTER {
             self.configuration.publish_pending(&self.shared, &self.log);
@@ -254,7 +256,7 @@
 
 fn demands(shared: &Shared, source: GrantSource) -> Vec<TenantDemand> {
     let demands = shared.quota_demands(source).into_iter();
-    demands.map(|asked| TenantDemand { tenant: asked.tenant, demand: asked.demand }).collect()
+    demands.map(|entry| TenantDemand { tenant: entry.tenant, demand: entry.demand }).collect()
 }
 
 #[cfg(test)]
--- a/crates/system/src/home_link/configuration_slot.rs
+++ b/crates/system/src/home_link/configuration_slot.rs
@@ -1,4 +1,4 @@
-//! The configuration in force at this gateway, and the newest one received that isn't in force yet.
+//! The configuration in force at this gateway, and the newest received one that isn't in force yet.
 
 use std::sync::Arc;
 
@@ -8,23 +8,23 @@
 use slog::{info, warn, Logger};
 use snafu::{ResultExt, Snafu};
 
-/// Why a configuration that a home sent can't be put in force.
+/// Why a configuration from a home can't be put in force.
 #[derive(Debug, Snafu)]
 enum UnreadableError {
-    /// It isn't compressed as gateways read it.
+    /// It can't be decompressed.
     #[snafu(display("{source}"))]
     Compressed { source: ProtocolError },
-    /// It is no valid configuration for this build.
+    /// It isn't a valid configuration for this build.
     #[snafu(display("{source}"))]
     Invalid { source: ConfigurationError },
 }
 
-/// Versions are put in force upwards only.
+/// Puts configurations in force, in ascending order of their versions.
 #[derive(Default)]
 pub(super) struct ConfigurationSlot {
     in_force: Option<ConfigurationVersion>,
     pending: Option<ConfigurationUpdate>,
-    /// The newest version received can't be read: the one in force is not the newest.
+    /// Whether the newest received version can't be read, so that the one in force isn't the newest.
     unreadable: bool,
 }
 
@@ -33,7 +33,7 @@
         self.in_force
     }
 
-    /// Whether nothing newer than what is in force has been received.
+    /// Whether the newest received version is in force.
     pub fn newest_is_in_force(&self) -> bool {
         self.in_force.is_some() && self.pending.is_none() && !self.unreadable
     }
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Puts the pending configuration in force, if it is newer and can be read.
+    /// Puts the pending configuration in force if it is newer and can be read.
     pub fn publish_pending(&mut self, shared: &Shared, log: &Logger) {
         let Some(pending) = self.pending.take() else { return };
         if Some(pending.version) <= self.in_force {
--- a/crates/system/src/home_link/connection.rs
+++ b/crates/system/src/home_link/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a control-plane process: the queue of reports towards it, and the updates that come back.
+//! A connection to a control-plane process: the queue of outgoing reports, and the received updates.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -13,16 +13,16 @@
 use tokio::sync::mpsc::{Receiver, Sender};
 use tokio::time::timeout;
 
-/// A home answers each report: one that sends nothing for so long is taken for gone.
+/// A home answers each report; one that sends nothing for this long is considered dead.
 const HOME_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Reports that may wait for a home that doesn't read.
+/// The capacity of the report queue.
 pub(super) const MAX_QUEUED_REPORTS: usize = 8;
-/// Updates kept of a home that isn't followed yet.
+/// The maximum number of updates kept from a home that isn't followed yet.
 const MAX_DEFERRED_UPDATES: usize = 16;
-/// Reports whose answers may still come.
+/// The maximum number of tracked unanswered reports.
 const MAX_UNANSWERED_REPORTS: usize = 64;
 
-/// What a connection's task tells the link.
+/// An event from a connection's task to the link.
 pub(super) enum Event {
     /// The home at this address has sent an update.
     Update(SocketAddr, HomeUpdate),
@@ -30,14 +30,14 @@
     Closed(SocketAddr),
 }
 
-/// The link's side of a connection; its task ends once this is dropped.
+/// The link's handle to a connection. The connection's task ends when the handle is dropped.
 pub(super) struct Connection {
     reports: Sender<GatewayReport>,
     unanswered: VecDeque<SentReport>,
-    /// When the last report was handed to the connection.
+    /// When the last report was queued.
     pub last_report_at: Option<Now>,
-    /// When the home's configuration was the newest, by its last answer; none where it can't tell, or where that
-    /// was before this process began.
+    /// When the home's configuration was last known to be the newest, according to its last answer. `None` if the home
+    /// doesn't know, or if it was before this process started.
     pub newest_as_of: Option<Now>,
     deferred: VecDeque<HomeUpdate>,
 }
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Queues a report. One that finds the queue full is dropped: the next says all that it said.
+    /// Queues a report. It is dropped if the queue is full, since the next report contains the same information.
     pub fn send(&mut self, now: Now, report: GatewayReport) {
         let number = report.number;
         if self.reports.try_send(report).is_err() {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// When the report of that number was sent. It and older ones are forgotten.
+    /// When the report with this number was sent. Stops tracking it and older ones.
     pub fn take_sent_at(&mut self, number: u64) -> Option<Now> {
         while self.unanswered.front().is_some_and(|oldest| oldest.number <= number) {
             let oldest = self.unanswered.pop_front()?;
@@ -82,8 +82,8 @@
         None
     }
 
-    /// Keeps an update until the home is followed. False if there is no room for it: the home sends nothing twice, so
-    /// the connection is of no use any more.
+    /// Keeps an update until the home is followed. Returns false if there is no room for it. The connection must then be
+    /// closed, because the home doesn't send updates twice.
     pub fn defer(&mut self, update: HomeUpdate) -> bool {
         let has_room = self.deferred.len() < MAX_DEFERRED_UPDATES;
         if has_room {
@@ -92,13 +92,14 @@
         has_room
     }
 
-    /// The updates that came before the home was followed, in the order in which they came.
+    /// Returns the updates received before the home was followed, in order.
     pub fn take_deferred(&mut self) -> VecDeque<HomeUpdate> {
         std::mem::take(&mut self.deferred)
     }
 }
 
-/// Dials a home, then carries reports to it and its updates back until either side ends or falls silent.
+/// Connects to a home, then sends reports and receives updates until either side closes the connection or the home times
+/// out.
 pub(super) async fn run(
     home: SocketAddr,
     identity: GatewayIdentity,
--- a/crates/system/src/main.rs
+++ b/crates/system/src/main.rs
@@ -1,4 +1,4 @@
-//! The fleet's programs: one command line for each role.
+//! The programs of the fleet, one subcommand for each role.
 
 mod cli;
 mod error;
@@ -21,8 +21,8 @@
     let cli = Cli::parse();
     match run(&cli) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(wrong) => {
-            error!(log::to_stderr(cli.level()), "{}", wrong);
+        Err(error) => {
+            error!(log::to_stderr(cli.level()), "{}", error);
             ExitCode::FAILURE
         }
     }
--- a/crates/system/src/ready.rs
+++ b/crates/system/src/ready.rs
@@ -1,4 +1,4 @@
-//! Readiness, as the platform asks for it, and the gateway's metrics.
+//! The HTTP endpoints for the platform's readiness checks and the gateway's metrics.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,9 +11,9 @@
 
 use crate::metrics;
 
-/// Answers at this address until the process ends.
+/// Serves the endpoints on this address until the process ends.
 pub async fn serve(address: SocketAddr, shared: Arc<Shared>) -> std::io::Result<()> {
-    let routes = Route::new().at("/v1/readyz", get(ready)).at("/metrics", get(figures)).data(shared);
+    let routes = Route::new().at("/v1/readyz", get(ready)).at("/metrics", get(serve_metrics)).data(shared);
     Server::new(TcpListener::bind(address)).run(routes).await
 }
 
@@ -27,6 +27,6 @@
 }
 
 #[handler]
-fn figures(shared: Data<&Arc<Shared>>) -> String {
+fn serve_metrics(shared: Data<&Arc<Shared>>) -> String {
     metrics::text(&shared)
 }
--- a/crates/system/src/signals.rs
+++ b/crates/system/src/signals.rs
@@ -1,4 +1,4 @@
-//! The runtime and the platform's signals.
+//! The asynchronous runtime and signal handling.
 
 use std::future::Future;
 
@@ -8,18 +8,21 @@
 
 use crate::error::{RuntimeSnafu, SignalsSnafu, SystemError};
 
-/// A runtime on this thread.
+/// Creates a single-threaded runtime.
 ///
 /// # Errors
-/// The system gives no descriptors for it (SYS-102).
+///
+/// If no file descriptors are available for it (SYS-102).
 pub fn runtime() -> Result<Runtime, SystemError> {
     Builder::new_current_thread().enable_all().build().context(RuntimeSnafu)
 }
 
-/// A future that ends with SIGTERM. SIGHUP, which ends a process by default, is ignored: files are watched instead.
+/// Returns a future that completes on SIGTERM. SIGHUP, which terminates a process by default, is ignored, since changed
+/// files are detected by polling.
 ///
 /// # Errors
-/// The handlers can't be installed (SYS-103).
+///
+/// If the handlers can't be installed (SYS-103).
 pub fn terminated() -> Result<impl Future<Output = ()>, SystemError> {
     let mut terminate = listen(SignalKind::terminate())?;
     let mut hangup = listen(SignalKind::hangup())?;
@@ -33,7 +36,7 @@
     })
 }
 
-/// A stream of one kind of signal.
+/// Creates a stream of signals of one kind.
 fn listen(kind: SignalKind) -> Result<Signal, SystemError> {
     signal(kind).context(SignalsSnafu)
 }
--- a/crates/system/tests/codes.rs
+++ b/crates/system/tests/codes.rs
@@ -1,4 +1,4 @@
-//! Each code that the fleet's crates write stands in the table of codes, and each of the table's is one of theirs.
+//! The codes in `docs/codes.md` and in the sources of the fleet's crates are the same.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -20,19 +20,19 @@
     "system",
 ];
 
-/// Three letters, a dash and three digits.
+/// The length of a code such as `CTL-101`: three letters, a dash and three digits.
 const LITERAL_BYTES: usize = 7;
-/// How a row says that its code is given no more.
+/// The text in rows of retired codes.
 const RETIRED: &str = "no longer used";
 
-/// The first cells of the table's rows that name codes; rows of retired ones aside.
-fn listed() -> BTreeSet<String> {
+/// The codes in the first column of the table, without retired ones.
+fn listed_codes() -> BTreeSet<String> {
     let rows = TABLE.lines().filter(|row| !row.contains(RETIRED));
     let cells = rows.filter_map(|row| row.strip_prefix("| ")?.split(" | ").next());
     cells.filter(|cell| is_literal(cell) || is_numbered(cell)).map(str::to_owned).collect()
 }
 
-/// As `CTL-101`.
+/// Whether a text has the form of `CTL-101`.
 fn is_literal(text: &str) -> bool {
     let bytes = text.as_bytes();
     bytes.len() == LITERAL_BYTES
@@ -41,19 +41,19 @@
         && bytes[4..].iter().all(u8::is_ascii_digit)
 }
 
-/// As `4001` or `E3101`.
+/// Whether a text has the form of `4001` or `E3101`.
 fn is_numbered(text: &str) -> bool {
     let digits = text.strip_prefix('E').unwrap_or(text);
     digits.len() == 4 && digits.bytes().all(|byte| byte.is_ascii_digit())
 }
 
-fn crate_folder(name: &str) -> PathBuf {
+fn crate_directory(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("..").join(name)
 }
 
-/// All sources below a folder.
-fn sources(folder: &Path, texts: &mut Vec<String>) {
-    for entry in std::fs::read_dir(folder).unwrap() {
+/// Collects all sources below a directory.
+fn sources(directory: &Path, texts: &mut Vec<String>) {
+    for entry in std::fs::read_dir(directory).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
             sources(&path, texts);
@@ -63,25 +63,25 @@
     }
 }
 
-/// The codes with which string literals begin.
+/// The codes at the start of string literals.
 fn literals(source: &str) -> impl Iterator<Item = &str> {
     let after_quotes = source.match_indices('"').map(|(at, _)| &source[at + 1..]);
     after_quotes.filter_map(|text| text.get(..LITERAL_BYTES)).filter(|text| is_literal(text))
 }
 
-/// The numbers that an error's `code` gives: the four digits behind the arrow of each of its arms.
+/// The numeric codes in an error's `code` method: the four digits to the right of the arrow in each match arm.
 fn numbers<'a>(source: &'a str, prefix: &'a str) -> impl Iterator<Item = String> + 'a {
     let arms = source.lines().filter_map(|line| line.trim().strip_suffix(',')?.split_once(" => "));
     let digits = arms.map(|(_, value)| value.replace('_', "")).filter(|value| is_numbered(value));
     digits.map(move |value| format!("{prefix}{value}"))
 }
 
-/// The codes of all the fleet's sources.
-fn written() -> BTreeSet<String> {
+/// The codes in the sources of all crates of the fleet.
+fn codes_in_sources() -> BTreeSet<String> {
     let mut codes = BTreeSet::new();
     for name in CRATES {
         let mut texts = Vec::new();
-        sources(&crate_folder(name).join("src"), &mut texts);
+        sources(&crate_directory(name).join("src"), &mut texts);
         codes.extend(texts.iter().flat_map(|text| literals(text)).map(str::to_owned));
         let prefix = if name == "registry" { "E" } else { "" };
         if matches!(name, "gateway" | "registry") {
@@ -92,30 +92,32 @@
 }
 
 #[test]
-fn each_code_that_is_written_stands_in_the_table() {
-    let listed = listed();
-    let missing: Vec<String> = written().into_iter().filter(|code| !listed.contains(code)).collect();
+fn each_code_in_the_sources_is_listed() {
+    let listed_codes = listed_codes();
+    let missing: Vec<String> =
+        codes_in_sources().into_iter().filter(|code| !listed_codes.contains(code)).collect();
     assert!(missing.is_empty(), "not in docs/codes.md: {missing:?}");
 }
 
 #[test]
-fn each_code_of_the_table_is_written_somewhere() {
-    let written = written();
-    let stale: Vec<String> = listed().into_iter().filter(|code| !written.contains(code)).collect();
-    assert!(stale.is_empty(), "in docs/codes.md alone, and not marked {RETIRED:?}: {stale:?}");
+fn each_listed_code_is_in_the_sources() {
+    let codes_in_sources = codes_in_sources();
+    let stale: Vec<String> =
+        listed_codes().into_iter().filter(|code| !codes_in_sources.contains(code)).collect();
+    assert!(stale.is_empty(), "only in docs/codes.md, and not marked {RETIRED:?}: {stale:?}");
 }
 
 #[test]
-fn each_family_of_codes_is_found() {
-    let written = written();
+fn each_family_of_codes_is_found_in_the_sources() {
+    let codes_in_sources = codes_in_sources();
     for code in ["CFG-101", "SET-101", "CTL-101", "CTL-301", "PRO-101", "SYS-101", "E3101", "4001", "5040"] {
-        assert!(written.contains(code), "{code} is not found in the sources");
+        assert!(codes_in_sources.contains(code), "{code} is not found in the sources");
     }
 }
 
 #[test]
-fn no_code_stands_twice() {
-    for code in listed() {
+fn no_code_is_listed_twice() {
+    for code in listed_codes() {
         let rows = TABLE.lines().filter(|line| line.starts_with(&format!("| {code} |"))).count();
         assert_eq!(rows, 1, "{code}");
     }
--- a/crates/system/tests/unit/cli.rs
+++ b/crates/system/tests/unit/cli.rs
@@ -1,4 +1,4 @@
-//! What `check` says beside "sound".
+//! The hints of `check` for valid settings.
 
 use std::path::Path;
 
@@ -17,17 +17,17 @@
 }
 
 #[test]
-fn a_member_with_a_disk_and_enough_seeds_needs_no_hint() {
+fn no_hint_for_a_member_with_a_disk_and_enough_seeds() {
     assert!(codes("data_dir=/data\ntolerate.nodes=1").is_empty());
 }
 
 #[test]
-fn a_loss_to_be_borne_without_a_disk_is_hinted_at() {
+fn hint_for_required_fault_tolerance_without_a_disk() {
     assert_eq!(codes("tolerate.nodes=1"), ["SYS-108"]);
     assert!(codes("tolerate.nodes=0").is_empty());
 }
 
 #[test]
-fn fewer_seeds_than_members_needed_are_hinted_at() {
+fn hint_for_fewer_seeds_than_required_members() {
     assert_eq!(codes("data_dir=/data\ntolerate.nodes=2"), ["SYS-109"]);
 }
--- a/crates/system/tests/unit/metrics.rs
+++ b/crates/system/tests/unit/metrics.rs
@@ -1,4 +1,4 @@
-//! What is scraped of a gateway.
+//! The metrics text of a gateway.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use super::*;
 
 #[test]
-fn each_figure_is_a_line_with_its_labels() {
+fn each_metric_is_a_line_with_its_labels() {
     let counts = [Count { cause: Cause::Requested, name: "requested", number: 7 }];
     let ends = [
         ConnectionEnds {
