--- a/crates/control-plane/src/api.rs
+++ b/crates/control-plane/src/api.rs
@@ -197,7 +197,7 @@
         Some(HeartbeatResponse::Rejected(error)) => {
             error_response(StatusCode::BAD_REQUEST, "CTL-109", &error.to_string())
         }
-        None => retry_later("the heartbeat was not processed; retry"),
+        None => retry_later("the heartbeat was not acknowledged; retry"),
     }
 }
 
