--- a/crates/control/tests/basics.rs
+++ b/crates/control/tests/basics.rs
@@ -1,300 +1,294 @@
-//! The ordinary path, one thing at a time, in virtual time.
+//! Basic behaviour of the replicas, one scenario per test, in virtual time.
 
 mod simulation;
 
 use crankpick_control::{CommandId, Input, Outcome, Record, RecordBody, View};
 use simulation::schedule::Fault;
-use simulation::{command, ms, run, submit, World};
-
-/// Three seeds and others, started one after another, given time to settle.
-fn settled(seeds: usize, others: usize) -> World {
-    let mut world = World::new(7, seeds, others);
-    for place in 0..seeds + others {
-        let at = world.now + ms(60 * place as u64);
-        world.fault_at(at, Fault::Start(place));
+use simulation::{command, ms, run, submit, Simulation};
+
+/// Starts the seeds and the other nodes 60 ms apart and runs until the cluster has settled.
+fn settled(seeds: usize, others: usize) -> Simulation {
+    let mut sim = Simulation::new(7, seeds, others);
+    for index in 0..seeds + others {
+        let at = sim.now + ms(60 * index as u64);
+        sim.fault_at(at, Fault::Start(index));
     }
-    run(&mut world, 3500);
-    world
+    run(&mut sim, 3500);
+    sim
 }
 
-/// Submits at a process and waits for the answer.
-fn ask(world: &mut World, place: usize, if_match: u64, generation: u64, salt: u64) -> Option<Outcome> {
-    let key = world.heard.len() as u64 + 1_000_000;
-    world.input(place, Input::Submit { key: CommandId(key), command: command(if_match, generation, salt) });
-    run(world, 3500);
-    world.heard.iter().find(|(heard, _)| heard.0 == key).map(|(_, outcome)| *outcome)
+/// Submits a command to a process and returns its answer after 3.5 s, if any.
+fn ask(sim: &mut Simulation, index: usize, if_match: u64, generation: u64, salt: u64) -> Option<Outcome> {
+    let key = sim.heard.len() as u64 + 1_000_000;
+    sim.input(index, Input::Submit { key: CommandId(key), command: command(if_match, generation, salt) });
+    run(sim, 3500);
+    sim.heard.iter().find(|(heard, _)| heard.0 == key).map(|(_, outcome)| *outcome)
 }
 
-fn chain(world: &World) -> Vec<usize> {
-    world.newest_view().chain.iter().filter_map(|id| world.place_of(*id)).collect()
+fn chain(sim: &Simulation) -> Vec<usize> {
+    sim.newest_view().chain.iter().filter_map(|id| sim.index_of(*id)).collect()
 }
 
-fn generation(world: &World, place: usize) -> u64 {
-    let replica = world.nodes[place].replica.as_ref().expect("up");
+fn generation(sim: &Simulation, index: usize) -> u64 {
+    let replica = sim.nodes[index].replica.as_ref().expect("up");
     replica.newest_committed().map_or(0, |entry| entry.command.generation)
 }
 
-fn fine(world: &World) {
-    assert!(world.checks.breaches.is_empty(), "{:#?}", world.checks.breaches);
+fn assert_no_breaches(sim: &Simulation) {
+    assert!(sim.checks.breaches.is_empty(), "{:#?}", sim.checks.breaches);
 }
 
-/// The machines that vote, by place.
-fn voters(world: &World) -> Vec<usize> {
-    world.newest_view().members.iter().filter_map(|member| world.place_of(member.id)).collect()
+/// The node indices of the voters.
+fn voters(sim: &Simulation) -> Vec<usize> {
+    sim.newest_view().members.iter().filter_map(|member| sim.index_of(member.id)).collect()
 }
 
-/// The one of four that doesn't vote.
-fn standby(world: &World) -> usize {
-    let voters = voters(world);
-    assert_eq!(voters.len(), 3, "{}", world.describe());
-    (0..world.nodes.len())
-        .find(|place| !voters.contains(place) && !world.nodes[*place].removed)
-        .expect("one stands by")
+/// The one node of four that does not vote.
+fn standby(sim: &Simulation) -> usize {
+    let voters = voters(sim);
+    assert_eq!(voters.len(), 3, "{}", sim.describe());
+    (0..sim.nodes.len())
+        .find(|index| !voters.contains(index) && !sim.nodes[*index].removed)
+        .expect("a standby")
 }
 
 #[test]
 fn three_seeds_bootstrap_and_a_fourth_stands_by() {
-    let world = settled(3, 1);
-    assert_eq!(voters(&world), [0, 1, 2]);
-    assert_eq!(chain(&world), [0, 1, 2]);
-    assert!((0..4).all(|place| world.is_fresh(place)), "{}", world.describe());
-    fine(&world);
+    let sim = settled(3, 1);
+    assert_eq!(voters(&sim), [0, 1, 2]);
+    assert_eq!(chain(&sim), [0, 1, 2]);
+    assert!((0..4).all(|index| sim.is_fresh(index)), "{}", sim.describe());
+    assert_no_breaches(&sim);
 }
 
 #[test]
 fn two_of_three_seeds_bootstrap_and_the_third_joins_late() {
-    let mut world = World::new(3, 3, 0);
-    world.start(0);
-    world.start(2);
-    run(&mut world, 4500);
-    assert_eq!(world.newest_view().members.len(), 2);
-    world.start(1);
-    run(&mut world, 2000);
-    assert_eq!(world.newest_view().members.len(), 3);
-    fine(&world);
-}
-
-/// Seeds are named over zones, whether or not they have a disk: those without one don't decide, and are waited for only
-/// until they say so.
+    let mut sim = Simulation::new(3, 3, 0);
+    sim.start(0);
+    sim.start(2);
+    run(&mut sim, 4500);
+    assert_eq!(sim.newest_view().members.len(), 2);
+    sim.start(1);
+    run(&mut sim, 2000);
+    assert_eq!(sim.newest_view().members.len(), 3);
+    assert_no_breaches(&sim);
+}
+
+/// Seeds are configured by zone, whether or not they have a disk. Seeds without a disk take no part in the
+/// first view, and bootstrap waits for them only until they report that.
 #[test]
 fn the_seeds_with_a_disk_decide_on_the_first_view() {
     for durable in [vec![0], vec![1], vec![0, 2]] {
-        let mut world = World::new(3, 3, 2);
-        for place in 0..3 {
-            world.nodes[place].durable = durable.contains(&place);
+        let mut sim = Simulation::new(3, 3, 2);
+        for index in 0..3 {
+            sim.nodes[index].durable = durable.contains(&index);
         }
-        for place in 0..5 {
-            world.start(place);
+        for index in 0..5 {
+            sim.start(index);
         }
-        run(&mut world, 4000);
+        run(&mut sim, 4000);
         let mut expected = durable.clone();
         expected.extend([3, 4]);
-        let mut voters = voters(&world);
+        let mut voters = voters(&sim);
         voters.sort_unstable();
-        // Of four, one stands by.
-        voters.iter().for_each(|place| assert!(expected.contains(place), "{}", world.describe()));
-        assert_eq!(voters.len(), 3, "{}", world.describe());
-        assert_eq!(ask(&mut world, 1, 0, 5, 1), Some(Outcome::Committed));
-        fine(&world);
+        // With four candidates, one is a standby.
+        voters.iter().for_each(|index| assert!(expected.contains(index), "{}", sim.describe()));
+        assert_eq!(voters.len(), 3, "{}", sim.describe());
+        assert_eq!(ask(&mut sim, 1, 0, 5, 1), Some(Outcome::Committed));
+        assert_no_breaches(&sim);
     }
 }
 
 #[test]
-fn a_seed_that_isnt_heard_may_have_a_disk() {
-    let mut world = World::new(3, 3, 0);
-    world.nodes[1].durable = false;
-    world.start(0);
-    world.start(1);
-    run(&mut world, 6_000);
-    assert_eq!(world.newest_view(), View::default(), "the third might decide with others");
-    world.nodes[2].durable = false;
-    world.start(2);
-    run(&mut world, 1_500);
-    assert_eq!(voters(&world), [0]);
-    assert_eq!(ask(&mut world, 2, 0, 5, 1), Some(Outcome::Committed));
-}
-
-/// Fewer copies than the losses ask for aren't enough while other machines may still join.
+fn bootstrap_waits_for_a_seed_that_may_have_a_disk() {
+    let mut sim = Simulation::new(3, 3, 0);
+    sim.nodes[1].durable = false;
+    sim.start(0);
+    sim.start(1);
+    run(&mut sim, 6_000);
+    assert_eq!(sim.newest_view(), View::default(), "the third might bootstrap with others");
+    sim.nodes[2].durable = false;
+    sim.start(2);
+    run(&mut sim, 1_500);
+    assert_eq!(voters(&sim), [0]);
+    assert_eq!(ask(&mut sim, 2, 0, 5, 1), Some(Outcome::Committed));
+}
+
+/// Fewer copies than the tolerated losses require are not accepted while other machines may still join.
 #[test]
-fn a_machine_that_is_alone_takes_orders_once_nobody_else_came() {
-    let mut world = World::new(3, 3, 0);
-    for place in 0..3 {
-        world.nodes[place].durable = place == 0;
-        world.start(place);
+fn a_single_machine_accepts_commands_after_the_join_wait() {
+    let mut sim = Simulation::new(3, 3, 0);
+    for index in 0..3 {
+        sim.nodes[index].durable = index == 0;
+        sim.start(index);
     }
-    run(&mut world, 1_000);
-    assert_eq!(voters(&world), [0]);
-    let early = ask(&mut world, 2, 0, 5, 1);
-    assert_eq!(early, Some(Outcome::Unknown), "one copy, though one loss is to be borne");
-    run(&mut world, 1_000);
-    assert_eq!(ask(&mut world, 2, 0, 5, 1), Some(Outcome::Committed));
+    run(&mut sim, 1_000);
+    assert_eq!(voters(&sim), [0]);
+    let early = ask(&mut sim, 2, 0, 5, 1);
+    assert_eq!(early, Some(Outcome::Unknown), "a single copy does not tolerate a loss");
+    run(&mut sim, 1_000);
+    assert_eq!(ask(&mut sim, 2, 0, 5, 1), Some(Outcome::Committed));
 }
 
-/// One seed alone has a disk. Others with one were heard and are cut off before they could join: a command waits for them,
-/// since one copy doesn't outlive the loss that is to be borne.
+/// Only one seed has a disk. Other machines with disks were heard from and are cut off before they join: a
+/// command waits for them, since a single copy does not survive the one loss to be tolerated.
 #[test]
 fn a_machine_that_has_heard_of_others_waits_for_them() {
     for cut_after in [300, 350, 400, 500] {
-        let mut world = World::new(3, 3, 2);
-        for place in 0..5 {
-            world.nodes[place].durable = place == 0 || place >= 3;
+        let mut sim = Simulation::new(3, 3, 2);
+        for index in 0..5 {
+            sim.nodes[index].durable = index == 0 || index >= 3;
         }
-        for place in 0..3 {
-            world.start(place);
+        for index in 0..3 {
+            sim.start(index);
         }
-        run(&mut world, 1_000);
-        assert_eq!(voters(&world), [0]);
-        for place in 3..5 {
-            world.start(place);
-            // They are heard and don't hear: nobody takes them in.
-            world.apply(Fault::Cut(vec![(0, place)]));
+        run(&mut sim, 1_000);
+        assert_eq!(voters(&sim), [0]);
+        for index in 3..5 {
+            sim.start(index);
+            // Their messages arrive but they receive none, so they cannot join.
+            sim.apply(Fault::Cut(vec![(0, index)]));
         }
-        run(&mut world, cut_after);
-        world.apply(Fault::Cut((0..5).filter(|place| *place != 0).map(|place| (place, 0)).collect()));
-        run(&mut world, 7_000);
-        let asked = ask(&mut world, 0, 0, 5, 1);
+        run(&mut sim, cut_after);
+        sim.apply(Fault::Cut((0..5).filter(|index| *index != 0).map(|index| (index, 0)).collect()));
+        run(&mut sim, 7_000);
+        let asked = ask(&mut sim, 0, 0, 5, 1);
         assert_eq!(asked, Some(Outcome::Unknown), "cut after {cut_after}: one copy of two that are possible");
-        world.apply(Fault::Heal);
-        run(&mut world, 3_000);
-        assert_eq!(ask(&mut world, 0, 0, 5, 1), Some(Outcome::Committed), "{}", world.describe());
-        assert!(chain(&world).len() >= 2, "{}", world.describe());
-        fine(&world);
+        sim.apply(Fault::Heal);
+        run(&mut sim, 3_000);
+        assert_eq!(ask(&mut sim, 0, 0, 5, 1), Some(Outcome::Committed), "{}", sim.describe());
+        assert!(chain(&sim).len() >= 2, "{}", sim.describe());
+        assert_no_breaches(&sim);
     }
 }
 
 #[test]
-fn a_core_without_disks_bears_the_death_of_one() {
-    let mut world = World::new(3, 3, 1);
-    for place in 0..4 {
-        world.nodes[place].durable = false;
-        world.start(place);
+fn a_cluster_without_disks_tolerates_one_process_death() {
+    let mut sim = Simulation::new(3, 3, 1);
+    for index in 0..4 {
+        sim.nodes[index].durable = false;
+        sim.start(index);
     }
-    run(&mut world, 3_000);
-    assert_eq!(voters(&world), [0, 1, 2], "{}", world.describe());
-    assert_eq!(ask(&mut world, 3, 0, 5, 1), Some(Outcome::Committed));
+    run(&mut sim, 3_000);
+    assert_eq!(voters(&sim), [0, 1, 2], "{}", sim.describe());
+    assert_eq!(ask(&mut sim, 3, 0, 5, 1), Some(Outcome::Committed));
     for dead in 0..3 {
-        world.kill(dead);
-        run(&mut world, 500);
-        world.start(dead);
-        run(&mut world, 5_000);
-        assert_eq!(chain(&world).len(), 3, "{}", world.describe());
+        sim.kill(dead);
+        run(&mut sim, 500);
+        sim.start(dead);
+        run(&mut sim, 5_000);
+        assert_eq!(chain(&sim).len(), 3, "{}", sim.describe());
     }
-    assert_eq!(
-        ask(&mut world, 1, 0, 5, 1),
-        Some(Outcome::Committed),
-        "remembered by those that were started anew"
-    );
+    assert_eq!(ask(&mut sim, 1, 0, 5, 1), Some(Outcome::Committed), "remembered by the restarted processes");
 }
 
 #[test]
 fn one_seed_alone_decides_nothing() {
-    let mut world = World::new(3, 3, 1);
-    world.start(0);
-    world.start(3);
-    run(&mut world, 10_000);
-    assert_eq!(world.newest_view(), View::default());
+    let mut sim = Simulation::new(3, 3, 1);
+    sim.start(0);
+    sim.start(3);
+    run(&mut sim, 10_000);
+    assert_eq!(sim.newest_view(), View::default());
 }
 
 #[test]
 fn a_second_start_with_empty_disks_is_no_bootstrap() {
-    let mut world = World::new(3, 3, 1);
-    for place in 0..4 {
-        world.nodes[place].bootstrap = false;
-        world.start(place);
+    let mut sim = Simulation::new(3, 3, 1);
+    for index in 0..4 {
+        sim.nodes[index].bootstrap = false;
+        sim.start(index);
     }
-    run(&mut world, 10_000);
-    assert_eq!(world.newest_view(), View::default());
+    run(&mut sim, 10_000);
+    assert_eq!(sim.newest_view(), View::default());
 }
 
 #[test]
-fn an_order_submitted_anywhere_is_taken_and_known_everywhere() {
-    let mut world = settled(3, 1);
+fn a_command_submitted_to_any_node_is_committed_on_all() {
+    let mut sim = settled(3, 1);
     let mut known = 0;
-    for place in 0..4 {
-        assert_eq!(ask(&mut world, place, known, known + 5, 1), Some(Outcome::Committed));
+    for index in 0..4 {
+        assert_eq!(ask(&mut sim, index, known, known + 5, 1), Some(Outcome::Committed));
         known += 5;
-        assert!((0..4).all(|place| generation(&world, place) == known));
+        assert!((0..4).all(|index| generation(&sim, index) == known));
     }
-    fine(&world);
+    assert_no_breaches(&sim);
 }
 
 #[test]
-fn the_same_order_again_is_taken_and_others_are_refused() {
-    let mut world = settled(3, 1);
-    assert_eq!(ask(&mut world, 0, 0, 5, 1), Some(Outcome::Committed));
-    assert_eq!(ask(&mut world, 1, 5, 9, 1), Some(Outcome::Committed));
-    assert_eq!(ask(&mut world, 2, 0, 5, 1), Some(Outcome::Committed), "the same again, after a newer one");
-    assert_eq!(ask(&mut world, 2, 0, 5, 2), Some(Outcome::Conflict { current: 9 }), "other bytes");
-    assert_eq!(ask(&mut world, 3, 5, 9, 2), Some(Outcome::Conflict { current: 9 }), "the number of another");
-    assert_eq!(ask(&mut world, 3, 9, 9, 3), Some(Outcome::Invalid { current: 9 }));
-    assert_eq!(ask(&mut world, 3, 12, 15, 3), Some(Outcome::Unknown), "its base may yet come");
-    fine(&world);
+fn a_resubmitted_command_is_accepted_and_others_are_refused() {
+    let mut sim = settled(3, 1);
+    assert_eq!(ask(&mut sim, 0, 0, 5, 1), Some(Outcome::Committed));
+    assert_eq!(ask(&mut sim, 1, 5, 9, 1), Some(Outcome::Committed));
+    assert_eq!(ask(&mut sim, 2, 0, 5, 1), Some(Outcome::Committed), "resubmitted after a newer command");
+    assert_eq!(ask(&mut sim, 2, 0, 5, 2), Some(Outcome::Conflict { current: 9 }), "other bytes");
+    assert_eq!(ask(&mut sim, 3, 5, 9, 2), Some(Outcome::Conflict { current: 9 }), "the number of another");
+    assert_eq!(ask(&mut sim, 3, 9, 9, 3), Some(Outcome::Invalid { current: 9 }));
+    assert_eq!(ask(&mut sim, 3, 12, 15, 3), Some(Outcome::Unknown), "its base may still be committed");
+    assert_no_breaches(&sim);
 }
 
 #[test]
 fn a_dead_member_is_left_out_and_taken_back() {
     for dead in 0..3 {
-        let mut world = settled(3, 0);
-        world.kill(dead);
-        let place = (dead + 1) % 3;
-        assert_eq!(ask(&mut world, place, 0, 5, 1), Some(Outcome::Committed));
-        assert!(!chain(&world).contains(&dead));
-        assert_eq!(world.newest_view().members.len(), 3, "a member isn't dropped while nobody stands by");
-        world.start(dead);
-        run(&mut world, 4000);
-        assert!(chain(&world).contains(&dead), "{}", world.describe());
-        assert_eq!(generation(&world, dead), 5);
-        fine(&world);
+        let mut sim = settled(3, 0);
+        sim.kill(dead);
+        let index = (dead + 1) % 3;
+        assert_eq!(ask(&mut sim, index, 0, 5, 1), Some(Outcome::Committed));
+        assert!(!chain(&sim).contains(&dead));
+        assert_eq!(sim.newest_view().members.len(), 3, "a member is not dropped without a standby");
+        sim.start(dead);
+        run(&mut sim, 4000);
+        assert!(chain(&sim).contains(&dead), "{}", sim.describe());
+        assert_eq!(generation(&sim, dead), 5);
+        assert_no_breaches(&sim);
     }
 }
 
 #[test]
 fn a_dead_member_gives_its_vote_to_the_standby_and_stands_by_itself() {
     for dead in 0..3 {
-        let mut world = settled(3, 1);
-        world.kill(dead);
-        let place = (dead + 1) % 4;
-        assert_eq!(ask(&mut world, place, 0, 5, 1), Some(Outcome::Committed));
-        assert!(!chain(&world).contains(&dead));
-        run(&mut world, 1000);
-        assert!(voters(&world).contains(&3) && !voters(&world).contains(&dead), "{}", world.describe());
-        assert_eq!(chain(&world).len(), 3);
-        world.start(dead);
-        run(&mut world, 4000);
-        assert_eq!(standby(&world), dead, "{}", world.describe());
-        assert!(world.is_fresh(dead));
-        assert_eq!(generation(&world, dead), 5);
-        fine(&world);
+        let mut sim = settled(3, 1);
+        sim.kill(dead);
+        let index = (dead + 1) % 4;
+        assert_eq!(ask(&mut sim, index, 0, 5, 1), Some(Outcome::Committed));
+        assert!(!chain(&sim).contains(&dead));
+        run(&mut sim, 1000);
+        assert!(voters(&sim).contains(&3) && !voters(&sim).contains(&dead), "{}", sim.describe());
+        assert_eq!(chain(&sim).len(), 3);
+        sim.start(dead);
+        run(&mut sim, 4000);
+        assert_eq!(standby(&sim), dead, "{}", sim.describe());
+        assert!(sim.is_fresh(dead));
+        assert_eq!(generation(&sim, dead), 5);
+        assert_no_breaches(&sim);
     }
 }
 
 #[test]
 fn what_was_acknowledged_survives_when_all_die_at_once() {
-    let mut world = settled(3, 1);
-    assert_eq!(ask(&mut world, 2, 0, 5, 1), Some(Outcome::Committed));
-    world.apply(Fault::KillAll);
-    run(&mut world, 500);
-    world.apply(Fault::StartAll);
-    run(&mut world, 1500);
-    assert!(
-        (0..4).all(|place| generation(&world, place) == 5 && world.is_fresh(place)),
-        "{}",
-        world.describe()
-    );
-    assert_eq!(ask(&mut world, 3, 0, 5, 1), Some(Outcome::Committed));
-    fine(&world);
-}
-
-/// Each replica knows by itself what was committed: after a loss of all it need not wait for the others to tell it.
+    let mut sim = settled(3, 1);
+    assert_eq!(ask(&mut sim, 2, 0, 5, 1), Some(Outcome::Committed));
+    sim.apply(Fault::KillAll);
+    run(&mut sim, 500);
+    sim.apply(Fault::StartAll);
+    run(&mut sim, 1500);
+    assert!((0..4).all(|index| generation(&sim, index) == 5 && sim.is_fresh(index)), "{}", sim.describe());
+    assert_eq!(ask(&mut sim, 3, 0, 5, 1), Some(Outcome::Committed));
+    assert_no_breaches(&sim);
+}
+
+/// Each replica restores the commit position from its own disk, so after all processes die it need not wait
+/// for the others.
 #[test]
 fn a_restarted_replica_knows_alone_what_was_committed() {
-    let mut world = settled(3, 1);
-    assert_eq!(ask(&mut world, 2, 0, 5, 1), Some(Outcome::Committed));
-    run(&mut world, 1000);
-    for place in 0..4 {
-        let options = world.nodes[place].replica.as_ref().expect("up").options().clone();
-        let stored = world.nodes[place].disk.iter();
-        let records: Vec<Record> = stored.map(|bytes| Record::decode(bytes).expect("sound")).collect();
+    let mut sim = settled(3, 1);
+    assert_eq!(ask(&mut sim, 2, 0, 5, 1), Some(Outcome::Committed));
+    run(&mut sim, 1000);
+    for index in 0..4 {
+        let options = sim.nodes[index].replica.as_ref().expect("up").options().clone();
+        let stored = sim.nodes[index].disk.iter();
+        let records: Vec<Record> =
+            stored.map(|bytes| Record::decode(bytes).expect("a valid record")).collect();
         let restored = crankpick_control::Replica::restore(ms(1), options.clone(), records, &mut Vec::new());
         let known = restored.newest_committed().map(|entry| entry.command.generation);
         assert_eq!((known, restored.freshness(ms(1))), (Some(5), None));
@@ -304,22 +298,23 @@
     }
 }
 
-/// An entry that was appended and never committed isn't handed out by a replica that restarts alone.
+/// A replica that restarts alone does not expose an entry that was appended and never committed.
 #[test]
 fn a_restarted_replica_hands_out_nothing_uncommitted() {
-    let mut world = settled(3, 1);
-    assert_eq!(ask(&mut world, 2, 0, 5, 1), Some(Outcome::Committed));
-    run(&mut world, 1000);
-    let tail = *world.newest_view().chain.last().expect("a chain");
-    let id = |world: &World, place: usize| world.nodes[place].replica.as_ref().expect("up").id();
-    let tail = (0..4).find(|place| id(&world, *place) == tail).expect("one of them");
-    world.kill(tail);
-    submit(&mut world, (tail + 1) % 4, 77, command(5, 6, 2));
-    run(&mut world, 100);
-    for place in (0..4).filter(|place| *place != tail) {
-        let options = world.nodes[place].replica.as_ref().expect("up").options().clone();
-        let stored = world.nodes[place].disk.iter();
-        let records: Vec<Record> = stored.map(|bytes| Record::decode(bytes).expect("sound")).collect();
+    let mut sim = settled(3, 1);
+    assert_eq!(ask(&mut sim, 2, 0, 5, 1), Some(Outcome::Committed));
+    run(&mut sim, 1000);
+    let tail = *sim.newest_view().chain.last().expect("a chain");
+    let id = |sim: &Simulation, index: usize| sim.nodes[index].replica.as_ref().expect("up").id();
+    let tail = (0..4).find(|index| id(&sim, *index) == tail).expect("one of them");
+    sim.kill(tail);
+    submit(&mut sim, (tail + 1) % 4, 77, command(5, 6, 2));
+    run(&mut sim, 100);
+    for index in (0..4).filter(|index| *index != tail) {
+        let options = sim.nodes[index].replica.as_ref().expect("up").options().clone();
+        let stored = sim.nodes[index].disk.iter();
+        let records: Vec<Record> =
+            stored.map(|bytes| Record::decode(bytes).expect("a valid record")).collect();
         let restored = crankpick_control::Replica::restore(ms(1), options, records, &mut Vec::new());
         assert_eq!(restored.newest_committed().map(|entry| entry.command.generation), Some(5));
     }
@@ -327,96 +322,99 @@
 
 #[test]
 fn a_wiped_member_is_a_new_one() {
-    let mut world = settled(3, 1);
-    assert_eq!(ask(&mut world, 2, 0, 5, 1), Some(Outcome::Committed));
+    let mut sim = settled(3, 1);
+    assert_eq!(ask(&mut sim, 2, 0, 5, 1), Some(Outcome::Committed));
     for wiped in 0..4 {
-        let before = world.newest_view();
-        world.wipe(wiped);
-        run(&mut world, 400);
-        world.start(wiped);
-        run(&mut world, 4500);
-        let after = world.newest_view();
-        let address = world.nodes[wiped].address;
+        let before = sim.newest_view();
+        sim.wipe(wiped);
+        run(&mut sim, 400);
+        sim.start(wiped);
+        run(&mut sim, 4500);
+        let after = sim.newest_view();
+        let address = sim.nodes[wiped].address;
         let old = before.members.iter().find(|member| member.address == address);
-        assert!(old.is_none_or(|old| after.member(old.id).is_none()), "{}", world.describe());
+        assert!(old.is_none_or(|old| after.member(old.id).is_none()), "{}", sim.describe());
         assert_eq!(after.members.len(), 3);
-        assert_eq!(chain(&world).len(), 3, "{}", world.describe());
-        assert_eq!(generation(&world, wiped), 5);
-        assert!(chain(&world).contains(&wiped) || standby(&world) == wiped);
+        assert_eq!(chain(&sim).len(), 3, "{}", sim.describe());
+        assert_eq!(generation(&sim, wiped), 5);
+        assert!(chain(&sim).contains(&wiped) || standby(&sim) == wiped);
     }
-    assert_eq!(ask(&mut world, 0, 0, 5, 1), Some(Outcome::Committed), "remembered by four wiped ones");
-    fine(&world);
+    assert_eq!(ask(&mut sim, 0, 0, 5, 1), Some(Outcome::Committed), "remembered after all four were wiped");
+    assert_no_breaches(&sim);
 }
 
 #[test]
 fn a_machine_gone_for_good_gives_its_place_to_an_empty_one_at_another_address() {
-    let mut world = settled(3, 1);
-    assert_eq!(ask(&mut world, 2, 0, 5, 1), Some(Outcome::Committed));
-    world.apply(Fault::Replace(1));
-    run(&mut world, 5000);
-    let view = world.newest_view();
+    let mut sim = settled(3, 1);
+    assert_eq!(ask(&mut sim, 2, 0, 5, 1), Some(Outcome::Committed));
+    sim.apply(Fault::Replace(1));
+    run(&mut sim, 5000);
+    let view = sim.newest_view();
     assert_eq!(view.members.len(), 3);
-    assert!(view.members.iter().all(|member| member.address != world.nodes[1].address));
-    assert_eq!(chain(&world).len(), 3);
-    assert_eq!(standby(&world), 4, "the one that stood by took its place, the new one stands by");
-    assert_eq!(generation(&world, 4), 5);
-    fine(&world);
+    assert!(view.members.iter().all(|member| member.address != sim.nodes[1].address));
+    assert_eq!(chain(&sim).len(), 3);
+    assert_eq!(standby(&sim), 4, "the former standby became a voter, the new machine is the standby");
+    assert_eq!(generation(&sim, 4), 5);
+    assert_no_breaches(&sim);
 }
 
 #[test]
 fn a_follower_without_a_disk_is_fresh_and_forwards() {
-    let mut world = settled(3, 1);
-    let seeds = world.nodes[0].seeds.clone();
-    let follower = world.add_node(seeds, false, false);
-    world.start(follower);
-    run(&mut world, 1500);
-    assert!(world.is_fresh(follower), "{}", world.describe());
-    assert_eq!(ask(&mut world, follower, 0, 5, 1), Some(Outcome::Committed));
-    assert_eq!(generation(&world, follower), 5);
-    assert_eq!(voters(&world), [0, 1, 2]);
-    assert!(world.nodes[follower].disk.is_empty());
-    fine(&world);
+    let mut sim = settled(3, 1);
+    let seeds = sim.nodes[0].seeds.clone();
+    let follower = sim.add_node(seeds, false, false);
+    sim.start(follower);
+    run(&mut sim, 1500);
+    assert!(sim.is_fresh(follower), "{}", sim.describe());
+    assert_eq!(ask(&mut sim, follower, 0, 5, 1), Some(Outcome::Committed));
+    assert_eq!(generation(&sim, follower), 5);
+    assert_eq!(voters(&sim), [0, 1, 2]);
+    assert!(sim.nodes[follower].disk.is_empty());
+    assert_no_breaches(&sim);
 }
 
 #[test]
 fn a_process_restarted_with_other_seeds_finds_the_members_it_knew() {
-    let mut world = settled(3, 1);
-    world.kill(3);
-    world.nodes[3].seeds = vec![simulation::address(9)];
-    world.start(3);
-    run(&mut world, 1500);
-    assert!(world.is_fresh(3), "{}", world.describe());
-    fine(&world);
+    let mut sim = settled(3, 1);
+    sim.kill(3);
+    sim.nodes[3].seeds = vec![simulation::address(9)];
+    sim.start(3);
+    run(&mut sim, 1500);
+    assert!(sim.is_fresh(3), "{}", sim.describe());
+    assert_no_breaches(&sim);
 }
 
 #[test]
 fn a_cut_off_member_isnt_fresh_and_takes_nothing() {
-    let mut world = settled(3, 1);
-    let head = chain(&world)[0];
+    let mut sim = settled(3, 1);
+    let head = chain(&sim)[0];
     let pairs =
         (0..4).filter(|other| *other != head).flat_map(|other| [(head, other), (other, head)]).collect();
-    world.apply(Fault::Cut(pairs));
-    run(&mut world, 700);
-    assert!(!world.is_fresh(head));
-    assert_eq!(ask(&mut world, head, 0, 5, 1), Some(Outcome::Unknown));
-    assert_eq!(ask(&mut world, (head + 1) % 4, 0, 6, 2), Some(Outcome::Committed));
-    world.apply(Fault::Heal);
-    run(&mut world, 3500);
-    assert!(world.is_fresh(head));
-    assert_eq!(generation(&world, head), 6);
-    fine(&world);
+    sim.apply(Fault::Cut(pairs));
+    run(&mut sim, 700);
+    assert!(!sim.is_fresh(head));
+    assert_eq!(ask(&mut sim, head, 0, 5, 1), Some(Outcome::Unknown));
+    assert_eq!(ask(&mut sim, (head + 1) % 4, 0, 6, 2), Some(Outcome::Committed));
+    sim.apply(Fault::Heal);
+    run(&mut sim, 3500);
+    assert!(sim.is_fresh(head));
+    assert_eq!(generation(&sim, head), 6);
+    assert_no_breaches(&sim);
 }
 
 #[test]
 fn a_snapshot_stands_in_for_all_records_before_it() {
-    let mut world = settled(3, 1);
-    assert_eq!(ask(&mut world, 2, 0, 5, 1), Some(Outcome::Committed));
-    for place in 0..4 {
-        let replica = world.nodes[place].replica.as_ref().expect("up");
+    let mut sim = settled(3, 1);
+    assert_eq!(ask(&mut sim, 2, 0, 5, 1), Some(Outcome::Committed));
+    for index in 0..4 {
+        let replica = sim.nodes[index].replica.as_ref().expect("up");
         let snapshot = replica.snapshot_records();
-        let mut records: Vec<Record> =
-            world.nodes[place].disk.iter().map(|bytes| Record::decode(bytes).expect("sound")).collect();
-        // The records that it holds come again after it: they are skipped.
+        let mut records: Vec<Record> = sim.nodes[index]
+            .disk
+            .iter()
+            .map(|bytes| Record::decode(bytes).expect("a valid record"))
+            .collect();
+        // Records that the snapshot already includes are skipped when they are replayed after it.
         let again = records.clone();
         records.extend(snapshot.clone());
         records.extend(again);
@@ -439,44 +437,44 @@
 }
 
 #[test]
-fn nothing_is_said_to_one_that_isnt_meant() {
-    let mut world = settled(3, 1);
-    let old = world.nodes[1].identity.expect("known");
-    world.wipe(1);
-    world.start(1);
-    let new = world.nodes[1].replica.as_ref().expect("up").id();
+fn a_wiped_member_ignores_messages_to_its_old_identity() {
+    let mut sim = settled(3, 1);
+    let old = sim.nodes[1].identity.expect("known");
+    sim.wipe(1);
+    sim.start(1);
+    let new = sim.nodes[1].replica.as_ref().expect("up").id();
     assert_ne!(old, new);
-    run(&mut world, 50);
-    let replica = world.nodes[1].replica.as_ref().expect("up");
+    run(&mut sim, 50);
+    let replica = sim.nodes[1].replica.as_ref().expect("up");
     assert!(replica.newest_committed().is_none());
-    fine(&world);
+    assert_no_breaches(&sim);
 }
 
-/// What only the head's memory holds must not become part of another's state: after a restart the head would give its
-/// name to another entry.
+/// An entry that the head has not synced must not become part of another replica's state: after a restart the
+/// head would assign the same entry id to another entry.
 #[test]
-fn what_the_head_hasnt_synced_isnt_handed_on() {
+fn unsynced_head_entries_are_not_propagated() {
     for wait in [20, 60, 100, 200, 300, 400] {
-        let mut world = settled(3, 1);
-        let places = chain(&world);
-        let (head, next) = (places[0], places[1]);
-        world.set_disk(head, simulation::DiskMode::Stalled);
-        world.input(head, Input::Submit { key: CommandId(1), command: command(0, 5, 1) });
-        world.apply(Fault::Leave(next));
-        run(&mut world, wait);
-        for place in 0..4 {
-            world.kill_without_power(place);
+        let mut sim = settled(3, 1);
+        let indices = chain(&sim);
+        let (head, next) = (indices[0], indices[1]);
+        sim.set_disk(head, simulation::DiskMode::Stalled);
+        sim.input(head, Input::Submit { key: CommandId(1), command: command(0, 5, 1) });
+        sim.apply(Fault::Leave(next));
+        run(&mut sim, wait);
+        for index in 0..4 {
+            sim.power_off(index);
         }
-        world.set_disk(head, simulation::DiskMode::Well);
-        world.apply(Fault::StartAll);
-        run(&mut world, 150);
-        for place in 0..4 {
-            world.input(place, Input::Submit { key: CommandId(2), command: command(0, 6, 2) });
+        sim.set_disk(head, simulation::DiskMode::Healthy);
+        sim.apply(Fault::StartAll);
+        run(&mut sim, 150);
+        for index in 0..4 {
+            sim.input(index, Input::Submit { key: CommandId(2), command: command(0, 6, 2) });
         }
-        run(&mut world, 4000);
-        fine(&world);
+        run(&mut sim, 4000);
+        assert_no_breaches(&sim);
         let mut states: Vec<Vec<crankpick_control::EntryHeader>> = Vec::new();
-        for node in &world.nodes {
+        for node in &sim.nodes {
             for record in node.replica.as_ref().expect("up").snapshot_records() {
                 if let RecordBody::Snapshot(snapshot) = record.body {
                     states.push(snapshot.headers);
@@ -489,13 +487,13 @@
 
 #[test]
 fn a_wiped_member_whose_seeds_are_gone_is_found_by_the_others() {
-    let mut world = settled(3, 1);
-    world.nodes[1].seeds = vec![simulation::address(9)];
-    world.wipe(1);
-    world.start(1);
-    run(&mut world, 4500);
-    assert!(world.is_fresh(1), "{}", world.describe());
-    assert!(chain(&world).contains(&1) || standby(&world) == 1);
-    assert_eq!(chain(&world).len(), 3);
-    fine(&world);
+    let mut sim = settled(3, 1);
+    sim.nodes[1].seeds = vec![simulation::address(9)];
+    sim.wipe(1);
+    sim.start(1);
+    run(&mut sim, 4500);
+    assert!(sim.is_fresh(1), "{}", sim.describe());
+    assert!(chain(&sim).contains(&1) || standby(&sim) == 1);
+    assert_eq!(chain(&sim).len(), 3);
+    assert_no_breaches(&sim);
 }
--- a/crates/control/tests/fencing.rs
+++ b/crates/control/tests/fencing.rs
@@ -1,5 +1,5 @@
-//! Whoever uses the epoch of a replaced view is refused, learns the newer one from the refusal, and doesn't use the old one
-//! again. A head that can't take a command says so at once.
+//! Fencing: a message with the epoch of a replaced view is refused, and its sender learns the newer view from
+//! the refusal and does not use the old epoch again. A head that cannot accept a command answers at once.
 
 mod simulation;
 
@@ -10,22 +10,22 @@
     MemberId, Message, Outcome, Output, Sender,
 };
 use simulation::schedule::Fault;
-use simulation::{address, command, ms, run, submit, Core, DiskMode, World};
+use simulation::{address, command, ms, run, submit, ClusterConfig, DiskMode, Simulation};
 
-fn settled(machines: usize) -> World {
-    let mut world = Core { machines, losses: 1 }.starting(11);
-    run(&mut world, 5_000);
-    world
+fn settled(machines: usize) -> Simulation {
+    let mut sim = ClusterConfig { machines, losses: 1 }.start_cluster(11);
+    run(&mut sim, 5_000);
+    sim
 }
 
-fn head(world: &World) -> usize {
-    world.newest_view().head().and_then(|id| world.place_of(id)).expect("a head")
+fn head(sim: &Simulation) -> usize {
+    sim.newest_view().head().and_then(|id| sim.index_of(id)).expect("a head")
 }
 
-/// What a process sends because of an input, to whom.
-fn sent(world: &mut World, place: usize, input: Input) -> Vec<(std::net::SocketAddr, Body)> {
-    let node = &mut world.nodes[place];
-    let now = world.now - node.booted;
+/// The messages that a process sends in response to an input, with their receivers.
+fn sent(sim: &mut Simulation, index: usize, input: Input) -> Vec<(std::net::SocketAddr, Body)> {
+    let node = &mut sim.nodes[index];
+    let now = sim.now - node.booted_at;
     let mut outputs = Vec::new();
     node.replica.as_mut().expect("up").handle(now, input, &mut outputs);
     let messages = outputs.into_iter().filter_map(|output| match output {
@@ -35,17 +35,18 @@
     messages.collect()
 }
 
-/// A process at an address that no machine has.
-const STRANGER: Sender = Sender { id: MemberId(77), address: std::net::SocketAddr::V4(STRANGERS_ADDRESS) };
-const STRANGERS_ADDRESS: std::net::SocketAddrV4 =
+/// A sender whose address belongs to no simulated machine.
+const UNKNOWN_SENDER: Sender =
+    Sender { id: MemberId(77), address: std::net::SocketAddr::V4(UNKNOWN_ADDRESS) };
+const UNKNOWN_ADDRESS: std::net::SocketAddrV4 =
     std::net::SocketAddrV4::new(std::net::Ipv4Addr::new(10, 9, 9, 9), 7500);
 
-fn from_stranger(body: Body) -> Input {
-    Input::Message(Message { sender: STRANGER, target: None, body })
+fn from_unknown_sender(body: Body) -> Input {
+    Input::Message(Message { sender: UNKNOWN_SENDER, target: None, body })
 }
 
-/// One message of each kind that uses an epoch.
-fn uses_of(epoch: u64) -> Vec<Input> {
+/// One input of each kind that carries an epoch.
+fn messages_with_epoch(epoch: u64) -> Vec<Input> {
     let id = EntryId { epoch, position: 1 };
     let entry = Entry { id, command: Command::new(0, 1, vec![1]).into() }.into();
     let bodies = [
@@ -54,165 +55,165 @@
         Body::Commit(Commit { epoch, committed: id }),
         Body::CatchUp(CatchUp { epoch, last: id, known: id }),
     ];
-    let used_by_the_host = Input::EpochUsed { address: STRANGER.address, epoch };
-    bodies.into_iter().map(from_stranger).chain([used_by_the_host]).collect()
+    let epoch_used_by_host = Input::EpochUsed { address: UNKNOWN_SENDER.address, epoch };
+    bodies.into_iter().map(from_unknown_sender).chain([epoch_used_by_host]).collect()
 }
 
 #[test]
-fn who_uses_a_replaced_epoch_is_told_the_new_view_at_once() {
-    let mut world = settled(4);
-    let view = world.newest_view();
-    let place = head(&world);
-    for (number, input) in uses_of(view.epoch - 1).into_iter().enumerate() {
-        let answers = sent(&mut world, place, input.clone());
+fn a_sender_with_a_replaced_epoch_receives_the_new_view() {
+    let mut sim = settled(4);
+    let view = sim.newest_view();
+    let index = head(&sim);
+    for (number, input) in messages_with_epoch(view.epoch - 1).into_iter().enumerate() {
+        let answers = sent(&mut sim, index, input.clone());
         let told = answers.iter().filter(|(to, body)| {
-            *to == STRANGER.address && matches!(body, Body::Decide(told) if **told == view)
+            *to == UNKNOWN_SENDER.address && matches!(body, Body::Decide(told) if **told == view)
         });
         assert_eq!(told.count(), 1, "{input:?}: {answers:?}");
-        let replica = world.nodes[place].replica.as_ref().expect("up");
+        let replica = sim.nodes[index].replica.as_ref().expect("up");
         assert_eq!(replica.stale_epochs_refused(), number as u64 + 1, "{input:?}");
     }
 }
 
 #[test]
-fn who_hears_of_a_later_epoch_asks_for_its_view() {
-    let mut world = settled(4);
-    let epoch = world.newest_view().epoch;
-    let place = head(&world);
-    for input in uses_of(epoch + 1) {
-        let answers = sent(&mut world, place, input.clone());
-        let is_question =
+fn a_replica_that_sees_a_later_epoch_requests_its_view() {
+    let mut sim = settled(4);
+    let epoch = sim.newest_view().epoch;
+    let index = head(&sim);
+    for input in messages_with_epoch(epoch + 1) {
+        let answers = sent(&mut sim, index, input.clone());
+        let is_view_request =
             |body: &Body| matches!(body, Body::Hello(hello) if hello.epoch == epoch && !hello.bootstrap);
-        let asked = answers.iter().any(|(to, body)| *to == STRANGER.address && is_question(body));
+        let asked = answers.iter().any(|(to, body)| *to == UNKNOWN_SENDER.address && is_view_request(body));
         assert!(asked, "{input:?}: {answers:?}");
-        assert_eq!(world.nodes[place].replica.as_ref().expect("up").stale_epochs_refused(), 0);
+        assert_eq!(sim.nodes[index].replica.as_ref().expect("up").stale_epochs_refused(), 0);
     }
 }
 
-/// A member that was away while the view changed uses the old epoch once at the most, whatever the network does, and after a
-/// pause and a restart as well. The simulation checks each message of each process for that.
+/// A member that was absent during a view change uses the old epoch at most once, whatever the network does,
+/// and also after a pause or a restart. The simulation checks each sent message for that.
 #[test]
 fn a_refused_epoch_is_not_used_again() {
     for seed in 0..24 {
-        let mut world = Core { machines: 5, losses: 1 }.starting(300 + seed);
-        run(&mut world, 5_000);
-        world.network.doubled = 200;
-        world.network.late = 300;
-        world.network.lost = 50;
+        let mut sim = ClusterConfig { machines: 5, losses: 1 }.start_cluster(300 + seed);
+        run(&mut sim, 5_000);
+        sim.network.duplicated = 200;
+        sim.network.delayed = 300;
+        sim.network.lost = 50;
         for round in 0..4 {
-            let place = ((seed + round) % 5) as usize;
-            world.apply(Fault::Freeze(place));
-            run(&mut world, 6_000);
-            world.thaw(place);
-            let newest = world.checks.newest_acknowledged();
-            submit(&mut world, place, 50 + round, command(newest, newest + 1, round));
-            run(&mut world, 300);
-            world.kill(place);
-            world.start(place);
-            submit(&mut world, place, 90 + round, command(newest, newest + 1, round));
-            run(&mut world, 3_000);
+            let index = ((seed + round) % 5) as usize;
+            sim.apply(Fault::Freeze(index));
+            run(&mut sim, 6_000);
+            sim.thaw(index);
+            let newest = sim.checks.newest_acknowledged();
+            submit(&mut sim, index, 50 + round, command(newest, newest + 1, round));
+            run(&mut sim, 300);
+            sim.kill(index);
+            sim.start(index);
+            submit(&mut sim, index, 90 + round, command(newest, newest + 1, round));
+            run(&mut sim, 3_000);
         }
-        assert!(world.checks.breaches.is_empty(), "seed {seed}: {:#?}", world.checks.breaches);
-        assert!(world.checks.fences.refusals > 0, "seed {seed}: nobody was refused");
+        assert!(sim.checks.breaches.is_empty(), "seed {seed}: {:#?}", sim.checks.breaches);
+        assert!(sim.checks.fencing.refusals > 0, "seed {seed}: no refusal occurred");
     }
 }
 
-/// Two proposers that refuse one another by turns draw a new ballot each time.
+/// Competing proposers whose ballots are refused choose a new ballot each time.
 #[test]
 fn a_refused_ballot_is_not_used_again() {
     let mut refusals = 0;
     for seed in 0..24 {
-        let mut world = Core { machines: 4, losses: 1 }.starting(700 + seed);
-        run(&mut world, 4_000);
-        world.network.late = 400;
-        world.network.lost = 150;
-        for place in [0, 1, 2, 3, 0, 1] {
-            world.kill(place);
-            run(&mut world, 700);
-            world.start(place);
-            run(&mut world, 700);
+        let mut sim = ClusterConfig { machines: 4, losses: 1 }.start_cluster(700 + seed);
+        run(&mut sim, 4_000);
+        sim.network.delayed = 400;
+        sim.network.lost = 150;
+        for index in [0, 1, 2, 3, 0, 1] {
+            sim.kill(index);
+            run(&mut sim, 700);
+            sim.start(index);
+            run(&mut sim, 700);
         }
-        assert!(world.checks.breaches.is_empty(), "seed {seed}: {:#?}", world.checks.breaches);
-        refusals += world.checks.fences.refusals;
+        assert!(sim.checks.breaches.is_empty(), "seed {seed}: {:#?}", sim.checks.breaches);
+        refusals += sim.checks.fencing.refusals;
     }
     assert!(refusals > 100, "{refusals}");
 }
 
-fn answer(world: &World, key: u64) -> Option<Outcome> {
-    world.heard.iter().find(|(heard, _)| *heard == CommandId(key)).map(|(_, outcome)| *outcome)
+fn answer(sim: &Simulation, key: u64) -> Option<Outcome> {
+    sim.heard.iter().find(|(heard, _)| *heard == CommandId(key)).map(|(_, outcome)| *outcome)
 }
 
-/// A core that is to bear one loss and consists of one machine takes commands 5 s after its start. Until then a caller is
-/// told at once that none is taken, and needn't wait for its own timeout.
+/// A cluster that must tolerate one loss but consists of one machine accepts commands 5 s after its start.
+/// Until then callers are answered at once, so they need not wait for their own timeout.
 #[test]
 fn a_head_with_too_few_replicas_answers_at_once() {
-    let mut world = World::new(5, 1, 0);
-    world.start(0);
-    run(&mut world, 3_000);
-    assert_eq!(world.newest_view().chain.len(), 1, "{}", world.describe());
-    submit(&mut world, 0, 1, command(0, 1, 0));
-    run(&mut world, 50);
-    assert_eq!(answer(&world, 1), Some(Outcome::Unknown));
-    let replica = world.nodes[0].replica.as_ref().expect("up");
+    let mut sim = Simulation::new(5, 1, 0);
+    sim.start(0);
+    run(&mut sim, 3_000);
+    assert_eq!(sim.newest_view().chain.len(), 1, "{}", sim.describe());
+    submit(&mut sim, 0, 1, command(0, 1, 0));
+    run(&mut sim, 50);
+    assert_eq!(answer(&sim, 1), Some(Outcome::Unknown));
+    let replica = sim.nodes[0].replica.as_ref().expect("up");
     assert_eq!(replica.declined_commands(DeclineReason::TooFewReplicas), 1);
-    run(&mut world, 5_000);
-    submit(&mut world, 0, 2, command(0, 1, 0));
-    run(&mut world, 50);
-    assert_eq!(answer(&world, 2), Some(Outcome::Committed));
+    run(&mut sim, 5_000);
+    submit(&mut sim, 0, 2, command(0, 1, 0));
+    run(&mut sim, 50);
+    assert_eq!(answer(&sim, 2), Some(Outcome::Committed));
 }
 
-/// A command that finds as many entries in flight as there may be is taken behind the next commit, not when it is sent again.
+/// A command that finds the pipeline full is accepted after the next commit, not only when it is resubmitted.
 #[test]
 fn a_command_behind_a_full_pipeline_is_taken_with_the_next_commit() {
     const COMMANDS: u64 = 16;
-    let mut world = settled(3);
-    // Small messages between two processes keep their order, as on their one connection.
-    world.network.spread = Duration::ZERO;
-    for place in 0..3 {
-        world.set_disk(place, DiskMode::Slow(ms(40)));
+    let mut sim = settled(3);
+    // Small messages between two processes keep their order, as on a single connection.
+    sim.network.jitter = Duration::ZERO;
+    for index in 0..3 {
+        sim.set_disk(index, DiskMode::Slow(ms(40)));
     }
-    let place = head(&world);
-    let begun = world.now;
+    let index = head(&sim);
+    let begun = sim.now;
     for number in 0..COMMANDS {
-        submit(&mut world, place, number, command(number, number + 1, 0));
+        submit(&mut sim, index, number, command(number, number + 1, 0));
     }
-    while (0..COMMANDS).any(|key| answer(&world, key).is_none()) && world.now < begun + ms(4_000) {
-        run(&mut world, 5);
+    while (0..COMMANDS).any(|key| answer(&sim, key).is_none()) && sim.now < begun + ms(4_000) {
+        run(&mut sim, 5);
     }
     let refused: Vec<u64> =
-        (0..COMMANDS).filter(|key| answer(&world, *key) != Some(Outcome::Committed)).collect();
-    let outcomes: Vec<_> = refused.iter().map(|key| answer(&world, *key)).collect();
+        (0..COMMANDS).filter(|key| answer(&sim, *key) != Some(Outcome::Committed)).collect();
+    let outcomes: Vec<_> = refused.iter().map(|key| answer(&sim, *key)).collect();
     assert!(refused.is_empty(), "{refused:?}: {outcomes:?}");
-    let took = world.now - begun;
-    assert!(took < ms(590), "{took:?}: not before commands are sent again");
+    let took = sim.now - begun;
+    assert!(took < ms(590), "{took:?}: some commands were only accepted when resubmitted");
 }
 
-/// A command that reaches a head whose view isn't open yet is taken when it opens.
+/// A command that reaches a head whose view is not open yet is accepted when the view opens.
 #[test]
 fn a_command_waits_for_the_view_to_open() {
     let mut slowest = Duration::ZERO;
     for seed in 0..40 {
-        let mut world = Core { machines: 4, losses: 1 }.starting(900 + seed);
-        run(&mut world, 5_000);
-        let dead = head(&world);
-        let caller = (0..4).find(|place| *place != dead).expect("another");
-        world.kill(dead);
-        submit(&mut world, caller, 1, command(0, 1, 0));
-        let epoch = world.newest_view().epoch;
-        while world.newest_view().epoch == epoch {
-            run(&mut world, 1);
+        let mut sim = ClusterConfig { machines: 4, losses: 1 }.start_cluster(900 + seed);
+        run(&mut sim, 5_000);
+        let dead = head(&sim);
+        let caller = (0..4).find(|index| *index != dead).expect("another");
+        sim.kill(dead);
+        submit(&mut sim, caller, 1, command(0, 1, 0));
+        let epoch = sim.newest_view().epoch;
+        while sim.newest_view().epoch == epoch {
+            run(&mut sim, 1);
         }
-        let changed = world.now;
-        while answer(&world, 1).is_none() {
-            run(&mut world, 1);
+        let changed = sim.now;
+        while answer(&sim, 1).is_none() {
+            run(&mut sim, 1);
         }
-        assert_eq!(answer(&world, 1), Some(Outcome::Committed), "seed {seed}");
-        slowest = slowest.max(world.now - changed);
+        assert_eq!(answer(&sim, 1), Some(Outcome::Committed), "seed {seed}");
+        slowest = slowest.max(sim.now - changed);
     }
     assert!(slowest < ms(200), "{slowest:?} after the view had changed");
 }
 
 #[test]
-fn addresses_of_the_simulation_are_none_of_the_strangers() {
-    assert!((0..9).all(|place| address(place) != STRANGER.address));
+fn simulated_addresses_differ_from_the_unknown_sender() {
+    assert!((0..9).all(|index| address(index) != UNKNOWN_SENDER.address));
 }
--- a/crates/control/tests/many_at_once.rs
+++ b/crates/control/tests/many_at_once.rs
@@ -1,5 +1,5 @@
-//! Many processes end at once, by a kill or by a loss of power, and come back: what was acknowledged is there, reads are
-//! confirmed within a fraction of a second, and commands are taken again.
+//! Many processes end at once, by a kill or by a power loss, and restart: acknowledged changes are kept,
+//! reads are confirmed within a fraction of a second, and commands commit again.
 
 mod simulation;
 
@@ -7,163 +7,166 @@
 
 use simulation::operators::Wake;
 use simulation::schedule::Fault;
-use simulation::{ms, run, Core, World};
+use simulation::{ms, run, ClusterConfig, Simulation};
 
-/// How long the machines are down.
-const DOWN: u64 = 620;
-/// A change is taken within this time of when the last process is back.
+/// How long the machines are down, in milliseconds.
+const DOWNTIME_MS: u64 = 620;
+/// The maximum time from the restart of the last process to the next committed change.
 const RECOVERED_WITHIN: Duration = ms(4_000);
 
-/// Which processes end.
+/// The set of processes that end.
 #[derive(Clone, Copy, Debug)]
-enum Which {
+enum Scope {
     All,
     AllButOne,
-    /// Those of the first zone.
+    /// The processes in the zone of the first machine.
     Zone,
 }
 
-/// What the core was at.
+/// The activity of the cluster when the processes end.
 #[derive(Clone, Copy, Debug)]
-enum During {
-    /// Changes follow one another.
+enum Phase {
+    /// Changes are being committed.
     Changes,
-    /// A voter was lost for good, and another machine is about to have its vote.
+    /// A voter was lost permanently, and another machine is about to replace it.
     Replacement,
-    /// The first start.
+    /// The cluster starts for the first time.
     FirstStart,
-    /// All came back from another such end a moment ago.
+    /// All processes have just restarted after they ended at once.
     Restart,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Case {
-    which: Which,
-    during: During,
-    with_power: bool,
-    /// Between two ends, in milliseconds.
-    apart: u64,
+    scope: Scope,
+    phase: Phase,
+    keeps_power: bool,
+    /// The time between the ends of two processes, in milliseconds.
+    interval_ms: u64,
 }
 
 fn cases() -> Vec<Case> {
     let mut cases = Vec::new();
-    for which in [Which::All, Which::AllButOne, Which::Zone] {
-        for during in [During::Changes, During::Replacement, During::FirstStart, During::Restart] {
-            for (with_power, apart) in [(true, 0), (false, 0), (true, 50), (false, 50)] {
-                cases.push(Case { which, during, with_power, apart });
+    for scope in [Scope::All, Scope::AllButOne, Scope::Zone] {
+        for phase in [Phase::Changes, Phase::Replacement, Phase::FirstStart, Phase::Restart] {
+            for (keeps_power, interval_ms) in [(true, 0), (false, 0), (true, 50), (false, 50)] {
+                cases.push(Case { scope, phase, keeps_power, interval_ms });
             }
         }
     }
     cases
 }
 
-fn chosen(world: &World, which: Which) -> Vec<usize> {
-    let running = (0..world.nodes.len()).filter(|place| !world.nodes[*place].removed);
-    match which {
-        Which::All => running.collect(),
-        Which::AllButOne => running.skip(1).collect(),
-        Which::Zone => running.filter(|place| world.nodes[*place].zone == world.nodes[0].zone).collect(),
+fn affected_nodes(sim: &Simulation, scope: Scope) -> Vec<usize> {
+    let running = (0..sim.nodes.len()).filter(|index| !sim.nodes[*index].removed);
+    match scope {
+        Scope::All => running.collect(),
+        Scope::AllButOne => running.skip(1).collect(),
+        Scope::Zone => running.filter(|index| sim.nodes[*index].zone == sim.nodes[0].zone).collect(),
     }
 }
 
-/// Ends processes, and starts them again.
-fn end(world: &mut World, case: Case) {
-    let places = chosen(world, case.which);
-    for place in &places {
-        if case.with_power {
-            world.kill(*place);
+/// Stops the affected processes, and starts them again after the downtime.
+fn stop_and_restart(sim: &mut Simulation, case: Case) {
+    let indices = affected_nodes(sim, case.scope);
+    for index in &indices {
+        if case.keeps_power {
+            sim.kill(*index);
         } else {
-            world.kill_without_power(*place);
+            sim.power_off(*index);
         }
-        run(world, case.apart);
+        run(sim, case.interval_ms);
     }
-    run(world, DOWN);
-    for place in places {
-        world.start(place);
+    run(sim, DOWNTIME_MS);
+    for index in indices {
+        sim.start(index);
     }
 }
 
-fn prepare(world: &mut World, during: During, seed: u64) {
+fn run_to_phase(sim: &mut Simulation, phase: Phase, seed: u64) {
     let jitter = seed * 37 % 700;
-    match during {
-        During::FirstStart => run(world, 100 + jitter * 2),
-        During::Changes => run(world, 6_000 + jitter),
-        During::Replacement => {
-            run(world, 6_000);
-            let lost = world.newest_view().head().and_then(|id| world.place_of(id)).expect("a head");
-            world.apply(Fault::Replace(lost));
-            run(world, 2_700 + jitter);
+    match phase {
+        Phase::FirstStart => run(sim, 100 + jitter * 2),
+        Phase::Changes => run(sim, 6_000 + jitter),
+        Phase::Replacement => {
+            run(sim, 6_000);
+            let lost = sim.newest_view().head().and_then(|id| sim.index_of(id)).expect("a head");
+            sim.apply(Fault::Replace(lost));
+            run(sim, 2_700 + jitter);
         }
-        During::Restart => {
-            run(world, 6_000);
-            let case = Case { which: Which::All, during, with_power: true, apart: 0 };
-            end(world, case);
-            run(world, jitter / 2);
+        Phase::Restart => {
+            run(sim, 6_000);
+            let case = Case { scope: Scope::All, phase, keeps_power: true, interval_ms: 0 };
+            stop_and_restart(sim, case);
+            run(sim, jitter / 2);
         }
     }
 }
 
-fn play(core: Core, case: Case, seed: u64) {
-    let mut world = core.starting(seed);
-    world.operators.interval = ms(90);
-    world.wake_operator_at(world.now + ms(2_500), Wake::New);
-    prepare(&mut world, case.during, seed);
-    end(&mut world, case);
-    let back = world.now;
-    let known = world.checks.newest_acknowledged();
-    if matches!(case.during, During::FirstStart) {
-        run(&mut world, 3_000);
+fn run_case(cluster: ClusterConfig, case: Case, seed: u64) {
+    let mut sim = cluster.start_cluster(seed);
+    sim.operators.interval = ms(90);
+    sim.wake_operator_at(sim.now + ms(2_500), Wake::New);
+    run_to_phase(&mut sim, case.phase, seed);
+    stop_and_restart(&mut sim, case);
+    let back = sim.now;
+    let known = sim.checks.newest_acknowledged();
+    if matches!(case.phase, Phase::FirstStart) {
+        run(&mut sim, 3_000);
     }
-    while world.checks.newest_acknowledged() == known && world.now < back + RECOVERED_WITHIN * 2 {
-        run(&mut world, 50);
+    while sim.checks.newest_acknowledged() == known && sim.now < back + RECOVERED_WITHIN * 2 {
+        run(&mut sim, 50);
     }
-    let took = world.now - back;
+    let took = sim.now - back;
     assert!(
-        world.checks.newest_acknowledged() > known,
-        "{core:?} {case:?} seed {seed}: nothing taken: {}",
-        world.describe()
+        sim.checks.newest_acknowledged() > known,
+        "{cluster:?} {case:?} seed {seed}: nothing committed: {}",
+        sim.describe()
     );
-    let allowed = if matches!(case.during, During::FirstStart) { ms(7_000) } else { RECOVERED_WITHIN };
-    assert!(took <= allowed, "{core:?} {case:?} seed {seed}: {took:?}");
-    run(&mut world, 2_000);
-    assert!(world.checks.breaches.is_empty(), "{core:?} {case:?} seed {seed}: {:#?}", world.checks.breaches);
+    let allowed = if matches!(case.phase, Phase::FirstStart) { ms(7_000) } else { RECOVERED_WITHIN };
+    assert!(took <= allowed, "{cluster:?} {case:?} seed {seed}: {took:?}");
+    run(&mut sim, 2_000);
+    assert!(sim.checks.breaches.is_empty(), "{cluster:?} {case:?} seed {seed}: {:#?}", sim.checks.breaches);
 }
 
 #[test]
-fn a_core_serves_again_after_many_ends_at_once() {
-    let cores =
-        [Core { machines: 4, losses: 1 }, Core { machines: 5, losses: 2 }, Core { machines: 8, losses: 1 }];
-    for core in cores {
+fn a_cluster_recovers_after_simultaneous_process_ends() {
+    let clusters = [
+        ClusterConfig { machines: 4, losses: 1 },
+        ClusterConfig { machines: 5, losses: 2 },
+        ClusterConfig { machines: 8, losses: 1 },
+    ];
+    for cluster in clusters {
         for case in cases() {
             for seed in 0..4 {
-                play(core, case, 4_000 + seed);
+                run_case(cluster, case, 4_000 + seed);
             }
         }
     }
 }
 
-/// All processes start at the same moment, so that the first heartbeats of some find nobody who listens.
+/// All processes start at nearly the same time, so the first heartbeats of some reach no running process.
 #[test]
 fn reads_are_confirmed_soon_after_all_have_started_again() {
     let mut slowest = Duration::ZERO;
     for seed in 0..40 {
-        let mut world = Core { machines: 6, losses: 1 }.starting(5_000 + seed);
-        run(&mut world, 6_000);
-        for place in 0..6 {
-            world.kill(place);
+        let mut sim = ClusterConfig { machines: 6, losses: 1 }.start_cluster(5_000 + seed);
+        run(&mut sim, 6_000);
+        for index in 0..6 {
+            sim.kill(index);
         }
-        run(&mut world, DOWN);
-        for place in 0..6 {
-            world.start(place);
-            run(&mut world, 4);
+        run(&mut sim, DOWNTIME_MS);
+        for index in 0..6 {
+            sim.start(index);
+            run(&mut sim, 4);
         }
-        let begun = world.now;
+        let begun = sim.now;
         let voters: Vec<usize> =
-            world.newest_view().members.iter().filter_map(|member| world.place_of(member.id)).collect();
-        while !voters.iter().all(|place| world.is_fresh(*place)) && world.now < begun + ms(3_000) {
-            run(&mut world, 1);
+            sim.newest_view().members.iter().filter_map(|member| sim.index_of(member.id)).collect();
+        while !voters.iter().all(|index| sim.is_fresh(*index)) && sim.now < begun + ms(3_000) {
+            run(&mut sim, 1);
         }
-        slowest = slowest.max(world.now - begun);
+        slowest = slowest.max(sim.now - begun);
     }
     assert!(slowest <= ms(110), "{slowest:?}");
 }
--- a/crates/control/tests/restarts.rs
+++ b/crates/control/tests/restarts.rs
@@ -1,4 +1,5 @@
-//! What a replica makes of its own past: of what its disk holds for another reason than the chain's, and of late answers.
+//! Restart of a replica from records that the chain did not write, and handling of late answers and duplicate
+//! identities.
 
 mod simulation;
 
@@ -42,7 +43,7 @@
     Record { number, body }
 }
 
-/// An entry that the head alone had synced came to the tail by a proposal that died.
+/// Records of a tail that received an entry, synced only by the head, through a proposal that was abandoned.
 fn records_of_the_tail() -> Vec<Record> {
     let entry = Arc::new(Entry { id: EntryId { epoch: 1, position: 1 }, command: command(0, 5, 1) });
     let since = Some(EntryId::default());
@@ -55,7 +56,7 @@
     ]
 }
 
-/// The predecessor says that it and the head hold the state with which the view begins.
+/// A heartbeat in which the predecessor reports that it and the head hold the start state of the view.
 fn predecessor_is_open() -> Input {
     let heartbeat = Heartbeat {
         sent: Echo { incarnation: 1, sent: 1 },
@@ -84,7 +85,7 @@
     })
 }
 
-/// Two of five disks hold the entry, which two losses may take away.
+/// Only two of five disks hold the entry, and two losses are to be tolerated.
 #[test]
 fn a_tail_commits_nothing_that_a_proposal_installed() {
     let mut outputs = Vec::new();
@@ -93,7 +94,7 @@
     assert!(!commits(&outputs), "{outputs:#?}");
 }
 
-/// The same where the file was rewritten between the two.
+/// The same, with a file rewrite in between.
 #[test]
 fn a_tail_restored_from_a_snapshot_commits_nothing_that_a_proposal_installed() {
     let before = Replica::restore(ms(1), options(TAIL), records_of_the_tail(), &mut Vec::new());
@@ -122,9 +123,9 @@
     Input::Message(Message { sender, target: Some(STANDBY), body })
 }
 
-/// What a replica outside the chain has caught up with stays, though an earlier answer comes late.
+/// A replica outside the chain keeps the entries it has caught up with when an earlier answer arrives late.
 #[test]
-fn a_late_answer_takes_nothing_back() {
+fn a_late_answer_does_not_discard_newer_entries() {
     let records = vec![
         record(1, RecordBody::Identity { id: STANDBY, bootstrap: Vec::new() }),
         record(2, RecordBody::Entered(Box::new(view()))),
@@ -139,9 +140,9 @@
     assert!(standby.violations().is_empty(), "{:?}", standby.violations());
 }
 
-/// Two processes of one identity would take each other's words for their own.
+/// Two processes with the same identity would mistake each other's messages for their own.
 #[test]
-fn another_process_of_the_same_identity_is_told() {
+fn another_process_with_the_same_identity_is_reported() {
     let records = vec![record(1, RecordBody::Identity { id: STANDBY, bootstrap: Vec::new() })];
     let mut outputs = Vec::new();
     let mut standby = Replica::restore(ms(1), options(STANDBY), records, &mut outputs);
--- a/crates/control/tests/schedules.rs
+++ b/crates/control/tests/schedules.rs
@@ -1,4 +1,5 @@
-//! Seeded schedules of faults in virtual time. `CONTROL_SCHEDULES` says how many, `CONTROL_FIRST` the first seed.
+//! Seeded schedules of faults in virtual time. `CONTROL_SCHEDULES` sets their number, `CONTROL_FIRST`
+//! the first seed.
 
 mod simulation;
 
@@ -7,10 +8,10 @@
 use std::time::Duration;
 
 use simulation::schedule::Report;
-use simulation::{ends, schedule};
+use simulation::{correlated_failures, schedule};
 
-fn from_environment(name: &str, usual: u64) -> u64 {
-    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
+fn from_environment(name: &str, default: u64) -> u64 {
+    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
 fn run_all(run: fn(u64) -> Report, first: u64, count: u64, threads: usize) -> Vec<Report> {
@@ -35,22 +36,23 @@
 
 #[test]
 fn schedules_of_faults_break_nothing() {
-    break_nothing(schedule::run);
+    assert_no_breaches_in_schedules(schedule::run);
 }
 
 #[test]
-fn schedules_of_ends_lose_nothing() {
-    break_nothing(ends::run);
+fn schedules_of_correlated_failures_lose_nothing() {
+    assert_no_breaches_in_schedules(correlated_failures::run);
 }
 
-/// A tail that restarted committed what a proposal had installed: on two of five disks, where two may be lost.
+/// Regression test: a restarted tail committed an entry that a proposal had installed, which was on only two
+/// of five disks although two may be lost.
 #[test]
-fn an_end_two_milliseconds_after_an_install_loses_nothing() {
-    let report = ends::run(6_004_873);
+fn a_correlated_failure_two_ms_after_an_install_loses_nothing() {
+    let report = correlated_failures::run(6_004_873);
     assert!(report.breaches.is_empty(), "{:#?}", report.breaches);
 }
 
-fn break_nothing(run: fn(u64) -> Report) {
+fn assert_no_breaches_in_schedules(run: fn(u64) -> Report) {
     let count = from_environment("CONTROL_SCHEDULES", 300);
     let reports = run_all(run, from_environment("CONTROL_FIRST", 1), count, 3);
     let failed: Vec<&Report> = reports.iter().filter(|report| !report.breaches.is_empty()).collect();
--- a/crates/control/tests/serialized_form.rs
+++ b/crates/control/tests/serialized_form.rs
@@ -1,7 +1,9 @@
-//! What replicas send and store keeps its bytes: files and processes of the version before read them.
+//! The serialized form of messages and records must not change, so that files and
+//! processes of the previous version can read them.
 //!
-//! Each line of a fixture file is a name and the bytes in hex, written by the code of the first commit of this test.
-//! To add a line for a new variant, run with `BLESS_FIXTURES=1` and read the difference before committing it.
+//! Each line of a fixture file is a name and the bytes in hex, written by the code of the first commit of
+//! this test. To add a line for a new variant, run with `BLESS_FIXTURES=1` and review the difference before
+//! committing it.
 
 use std::fmt::Debug;
 use std::net::SocketAddr;
@@ -15,7 +17,7 @@
 use crankpick_test_support::Fixtures;
 use serde::{de::DeserializeOwned, Serialize};
 
-/// One value of each variant, under the name that its line in the fixture file has.
+/// One value of each variant, with the name of its line in the fixture file.
 type Samples<T> = Vec<(&'static str, T)>;
 
 fn address(last: u8) -> SocketAddr {
@@ -100,7 +102,7 @@
         ("Unclear", Outcome::Unknown),
     ];
     for (_, outcome) in &samples {
-        // A new variant needs a sample above: this match has no arm for the rest.
+        // Fails to compile when a variant is added, which then needs a sample above.
         match outcome {
             Outcome::Committed | Outcome::Conflict { .. } | Outcome::Invalid { .. } | Outcome::Unknown => {}
         }
@@ -148,7 +150,7 @@
     ]
 }
 
-/// The number of variants of `RecordBody`; fails to compile when one is added, which needs a sample.
+/// The number of the variant. Fails to compile when a variant is added, which then needs a sample.
 fn record_variant(body: &RecordBody) -> usize {
     match body {
         RecordBody::Identity { .. } => 0,
@@ -216,7 +218,7 @@
     samples
 }
 
-/// The number of variants of `Body`; fails to compile when one is added, which needs a sample.
+/// The number of the variant. Fails to compile when a variant is added, which then needs a sample.
 fn message_variant(body: &Body) -> usize {
     match body {
         Body::Hello(_) => 0,
@@ -241,7 +243,8 @@
     }
 }
 
-/// Each line decodes to the sample of that name, which encodes to the line again; no line and no sample is left over.
+/// Checks that each line decodes to the sample of its name, that each sample encodes to its line, and that
+/// none is missing.
 fn check<T>(file: &str, samples: Samples<T>)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
@@ -252,8 +255,8 @@
     let recorded = Fixtures::of(env!("CARGO_MANIFEST_DIR")).assert_hex_lines(file, &written);
     for (bytes, (name, value)) in recorded.iter().zip(&samples) {
         let decoded: T = rmp_serde::from_slice(bytes)
-            .unwrap_or_else(|error| panic!("{file}: {name} isn't read any more: {error}"));
-        assert_eq!(&decoded, value, "{file}: {name} is read as another value");
+            .unwrap_or_else(|error| panic!("{file}: {name} can no longer be decoded: {error}"));
+        assert_eq!(&decoded, value, "{file}: {name} is decoded as another value");
     }
 }
 
@@ -298,7 +301,7 @@
     }
 }
 
-/// Members and heartbeats of versions before a field was added are read with the field's default.
+/// Members and heartbeats written before a field was added are decoded with the default value of the field.
 #[test]
 fn values_written_before_a_field_was_added_are_read() {
     #[derive(Serialize)]
--- a/crates/control/tests/simulation/fences.rs
+++ b/crates/control/tests/simulation/fencing.rs
@@ -1,50 +1,50 @@
-//! Fences that were refused: no process uses one again.
+//! Checks that no process reuses an epoch or ballot that it was told is refused.
 
 use std::collections::HashMap;
 
 use crankpick_control::{Ballot, Body, Message};
 
-/// One life of a process: its place, and the number of its start.
-pub type Life = (usize, u64);
+/// A process start: the index of its node and the number of the start.
+pub type ProcessStart = (usize, u64);
 
-/// What each process was told: the newest view, and the ballots that were refused.
+/// What each process has learned: the newest epoch, and the refused ballots.
 #[derive(Default)]
-pub struct Fences {
-    epochs: HashMap<Life, u64>,
-    ballots: HashMap<Life, Vec<Ballot>>,
+pub struct FencingChecks {
+    epochs: HashMap<ProcessStart, u64>,
+    ballots: HashMap<ProcessStart, Vec<Ballot>>,
     pub refusals: u64,
 }
 
-impl Fences {
-    /// A message has reached a process.
-    pub fn received(&mut self, life: Life, message: &Message) {
+impl FencingChecks {
+    /// Records a message that a process received.
+    pub fn received(&mut self, start_number: ProcessStart, message: &Message) {
         match &message.body {
             Body::Decide(view) => {
-                let told = self.epochs.entry(life).or_default();
+                let told = self.epochs.entry(start_number).or_default();
                 *told = view.epoch.max(*told);
                 self.refusals += 1;
             }
             Body::Nack(nack) => {
-                self.ballots.entry(life).or_default().push(nack.refused);
+                self.ballots.entry(start_number).or_default().push(nack.refused);
                 self.refusals += 1;
             }
             _ => {}
         }
     }
 
-    /// What is wrong with a message that a process sends, if it uses a fence that was refused.
-    pub fn reused(&self, life: Life, message: &Message) -> Option<String> {
-        let told = self.epochs.get(&life).copied().unwrap_or_default();
+    /// Describes the breach if a sent message uses a refused epoch or ballot.
+    pub fn reused(&self, start_number: ProcessStart, message: &Message) -> Option<String> {
+        let told = self.epochs.get(&start_number).copied().unwrap_or_default();
         if let Some(epoch) = epoch_of(&message.body).filter(|epoch| *epoch < told) {
-            return Some(format!("node {} uses epoch {epoch}, was told {told}", life.0));
+            return Some(format!("node {} uses epoch {epoch}, was told {told}", start_number.0));
         }
-        let refused = self.ballots.get(&life).map_or(&[][..], Vec::as_slice);
+        let refused = self.ballots.get(&start_number).map_or(&[][..], Vec::as_slice);
         let ballot = ballot_of(&message.body).filter(|ballot| refused.contains(ballot))?;
-        Some(format!("node {} uses {ballot:?} again", life.0))
+        Some(format!("node {} uses {ballot:?} again", start_number.0))
     }
 }
 
-/// The epoch in which an order, a call or a heartbeat is sent.
+/// The epoch of a command, request or heartbeat, if the message has one.
 fn epoch_of(body: &Body) -> Option<u64> {
     match body {
         Body::Heartbeat(heartbeat) => Some(heartbeat.epoch),
--- a/crates/control/tests/simulation/inspect.rs
+++ b/crates/control/tests/simulation/inspect.rs
@@ -1,31 +1,31 @@
-//! Looking at a world from outside.
+//! Inspection of the simulated cluster from outside the replicas.
 
 use crankpick_control::{
     Command, Entry, EntryHeader, EntryId, MemberId, Options, Record, RecordBody, Replica,
 };
 
-use super::{ms, World};
+use super::{ms, Simulation};
 
-impl World {
-    /// Everything that must hold whenever a replica says that it is fresh.
-    pub(super) fn check_freshness(&mut self, place: usize) {
-        let node = &self.nodes[place];
+impl Simulation {
+    /// Checks the state of a replica as a read, if the replica reports a freshness.
+    pub(super) fn check_freshness(&mut self, index: usize) {
+        let node = &self.nodes[index];
         let Some(replica) = &node.replica else { return };
-        let Some(age) = replica.freshness(self.now.saturating_sub(node.booted)) else { return };
+        let Some(age) = replica.freshness(self.now.saturating_sub(node.booted_at)) else { return };
         let generation = replica.newest_committed().map_or(0, |entry| entry.command.generation);
-        self.checks.read(self.now, self.now.saturating_sub(age), place, generation);
+        self.checks.read(self.now, self.now.saturating_sub(age), index, generation);
     }
 
-    /// An entry that is committed, for the first time that anyone says so, is synced on enough disks.
+    /// Checks that an entry is synced on enough disks when it is first reported as committed.
     pub(super) fn check_durable(&mut self, entry: &Entry) {
-        if !self.checks.knows(entry) {
+        if !self.checks.was_committed(entry) {
             self.check_copies("committed", &entry.command);
         }
     }
 
-    /// More disks hold or held a command than may be lost.
+    /// Checks that more disks hold a command, lost disks included, than may be lost.
     pub(super) fn check_copies(&mut self, what: &str, command: &Command) {
-        let holds = |place: &usize| self.changes_on_disk(*place).iter().any(|change| change.is_of(command));
+        let holds = |index: &usize| self.changes_on_disk(*index).iter().any(|change| change.is_of(command));
         let disks = (0..self.nodes.len()).filter(holds).count();
         let held = |copies: &&Vec<EntryHeader>| copies.iter().any(|change| change.is_of(command));
         let lost = self.lost_copies.iter().filter(held).count();
@@ -36,14 +36,14 @@
         }
     }
 
-    /// The changes that a process started from that disk would know.
-    pub(super) fn changes_on_disk(&self, place: usize) -> Vec<EntryHeader> {
-        let node = &self.nodes[place];
+    /// The entry headers that a process restored from this disk would know.
+    pub(super) fn changes_on_disk(&self, index: usize) -> Vec<EntryHeader> {
+        let node = &self.nodes[index];
         if node.disk.is_empty() {
             return Vec::new();
         }
-        let decoded = node.disk.iter().map(|bytes| Record::decode(bytes).expect("a sound record"));
-        let replica = Replica::restore(ms(0), self.options(place, 0), decoded.collect(), &mut Vec::new());
+        let decoded = node.disk.iter().map(|bytes| Record::decode(bytes).expect("a valid record"));
+        let replica = Replica::restore(ms(0), self.options(index, 0), decoded.collect(), &mut Vec::new());
         let snapshots = replica.snapshot_records().into_iter();
         let changes = snapshots.filter_map(|record| match record.body {
             RecordBody::Snapshot(snapshot) => Some(snapshot.headers),
@@ -52,21 +52,22 @@
         changes.flatten().collect()
     }
 
-    /// Whether a majority of a view's members would know it after a restart: before that, what the view before it lacked
-    /// isn't made up for.
-    pub fn is_entered_for_good(&self, view: &crankpick_control::View) -> bool {
-        let knows = |place: &usize| {
-            let decoded = self.nodes[*place].disk.iter().map(|bytes| Record::decode(bytes).expect("sound"));
-            let options = self.options(*place, 0);
+    /// Whether a majority of the members of a view would know it after a restart. Until then, the members
+    /// missing from the previous view are not replaced.
+    pub fn is_durably_entered(&self, view: &crankpick_control::View) -> bool {
+        let knows = |index: &usize| {
+            let decoded =
+                self.nodes[*index].disk.iter().map(|bytes| Record::decode(bytes).expect("a valid record"));
+            let options = self.options(*index, 0);
             let restored = Replica::restore(ms(0), options, decoded.collect(), &mut Vec::new());
             view.member(restored.id()).is_some() && restored.view().epoch == view.epoch
         };
-        let known = (0..self.nodes.len()).filter(|place| !self.nodes[*place].disk.is_empty()).filter(knows);
+        let known = (0..self.nodes.len()).filter(|index| !self.nodes[*index].disk.is_empty()).filter(knows);
         known.count() >= view.majority()
     }
 
-    pub(super) fn options(&self, place: usize, entropy: u64) -> Options {
-        let node = &self.nodes[place];
+    pub(super) fn options(&self, index: usize, entropy: u64) -> Options {
+        let node = &self.nodes[index];
         Options {
             address: node.address,
             zone: node.zone.clone(),
@@ -80,62 +81,67 @@
         }
     }
 
-    pub fn is_fresh(&self, place: usize) -> bool {
-        let node = &self.nodes[place];
-        let age =
-            node.replica.as_ref().and_then(|replica| replica.freshness(self.now.saturating_sub(node.booted)));
+    pub fn is_fresh(&self, index: usize) -> bool {
+        let node = &self.nodes[index];
+        let age = node
+            .replica
+            .as_ref()
+            .and_then(|replica| replica.freshness(self.now.saturating_sub(node.booted_at)));
         age.is_some_and(|age| age <= ms(600))
     }
 
-    /// The highest view that any process is in.
+    /// The view with the highest epoch of any running process.
     pub fn newest_view(&self) -> crankpick_control::View {
         let replicas = self.nodes.iter().filter_map(|node| node.replica.as_ref());
         replicas.map(|replica| replica.view().clone()).max_by_key(|view| view.epoch).unwrap_or_default()
     }
 
-    pub fn place_of(&self, id: MemberId) -> Option<usize> {
+    pub fn index_of(&self, id: MemberId) -> Option<usize> {
         self.nodes.iter().position(|node| node.replica.as_ref().is_some_and(|replica| replica.id() == id))
     }
 
-    /// Whether the disk of some machine still belongs to that member.
-    pub fn holds(&self, id: MemberId) -> bool {
+    /// Whether some machine still has the disk of this member.
+    pub fn has_disk_of(&self, id: MemberId) -> bool {
         self.nodes.iter().any(|node| !node.disk.is_empty() && node.identity == Some(id))
     }
 
-    /// How many disks were lost lately.
+    /// The number of disks lost within the last `span`.
     pub fn disks_lost_within(&self, span: std::time::Duration) -> usize {
         self.lost_disks.iter().filter(|at| self.now <= **at + span).count()
     }
 
-    pub fn note_lost(&mut self) {
+    pub fn record_lost_disk(&mut self) {
         self.lost_disks.push(self.now);
     }
 
-    /// Machines whose process runs and whose disk is well.
-    pub fn well(&self) -> Vec<usize> {
-        let well = |place: &usize| {
-            let node = &self.nodes[*place];
-            node.replica.is_some() && !node.frozen && node.durable && node.mode == super::DiskMode::Well
+    /// The durable machines whose process runs and whose disk is healthy.
+    pub fn healthy(&self) -> Vec<usize> {
+        let healthy = |index: &usize| {
+            let node = &self.nodes[*index];
+            node.replica.is_some()
+                && !node.frozen
+                && node.durable
+                && node.disk_mode == super::DiskMode::Healthy
         };
-        (0..self.nodes.len()).filter(well).collect()
+        (0..self.nodes.len()).filter(healthy).collect()
     }
 
-    /// A dump for the reader of a failure.
+    /// Describes the state of all nodes, for failure messages.
     pub fn describe(&self) -> String {
         let mut text = format!("at {:?}\n", self.now);
-        for (place, node) in self.nodes.iter().enumerate() {
+        for (index, node) in self.nodes.iter().enumerate() {
             let Some(replica) = &node.replica else {
-                text += &format!("  {place}: down\n");
+                text += &format!("  {index}: down\n");
                 continue;
             };
             let committed = replica.newest_committed().map(|entry| entry.id).unwrap_or(EntryId::default());
             let chain: Vec<Option<usize>> =
-                replica.view().chain.iter().map(|id| self.place_of(*id)).collect();
+                replica.view().chain.iter().map(|id| self.index_of(*id)).collect();
             let members: Vec<String> =
                 replica.view().members.iter().map(|member| member.address.ip().to_string()).collect();
             text += &format!(
-                "  {place}: id {:x} epoch {} chain {chain:?} members {members:?} committed {committed:?} frozen {} disk {:?}\n",
-                replica.id().0, replica.view().epoch, node.frozen, node.mode
+                "  {index}: id {:x} epoch {} chain {chain:?} members {members:?} committed {committed:?} frozen {} disk {:?}\n",
+                replica.id().0, replica.view().epoch, node.frozen, node.disk_mode
             );
         }
         text
--- a/crates/control/tests/simulation/machine.rs
+++ b/crates/control/tests/simulation/machine.rs
@@ -1,4 +1,4 @@
-//! A machine: its process and its disk.
+//! A simulated machine: its process and its disk.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,27 +7,27 @@
 
 use super::Event;
 
-/// How a disk does.
+/// The condition of a disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskMode {
-    Well,
-    /// Syncs take so long.
+    Healthy,
+    /// Each sync takes this long.
     Slow(Duration),
-    /// Syncs end only once it is well again.
+    /// Syncs complete only when the disk is healthy again.
     Stalled,
     /// Writes are refused.
     Full,
 }
 
-/// A write on its way to the disk.
+/// A write that the disk has not completed.
 #[derive(Clone, Debug)]
-pub struct Flight {
+pub struct PendingWrite {
     pub write_id: WriteId,
     pub records: Vec<Vec<u8>>,
     pub refused: bool,
 }
 
-/// A machine.
+/// The state of a simulated machine.
 pub struct Node {
     pub address: SocketAddr,
     pub zone: String,
@@ -35,18 +35,19 @@
     pub durable: bool,
     pub seeds: Vec<SocketAddr>,
     pub replica: Option<Replica>,
-    /// Synced.
+    /// The synced records.
     pub disk: Vec<Vec<u8>>,
-    pub mode: DiskMode,
-    pub flight: Option<Flight>,
-    pub rewrite: Option<Vec<Vec<u8>>>,
-    pub booted: Duration,
-    /// Counts starts: events of an earlier one are dropped.
-    pub life: u64,
+    pub disk_mode: DiskMode,
+    pub pending_write: Option<PendingWrite>,
+    pub pending_rewrite: Option<Vec<Vec<u8>>>,
+    pub booted_at: Duration,
+    /// The number of process starts; events of an earlier start are dropped.
+    pub start_number: u64,
     pub frozen: bool,
+    /// Events that arrived while the process was frozen.
     pub held: Vec<Event>,
-    /// Gone for good.
+    /// Permanently removed.
     pub removed: bool,
-    /// Of its last process.
+    /// The member identity of its last process.
     pub identity: Option<MemberId>,
 }
--- a/crates/control/tests/simulation/operators.rs
+++ b/crates/control/tests/simulation/operators.rs
@@ -1,4 +1,5 @@
-//! Operators: they send changes to any process, send the same again where no clear answer came, and race each other.
+//! Simulated operators: they submit changes to random processes, retry without a definite answer, and submit
+//! rival commands.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,23 +8,23 @@
 use crankpick_control::{Command, CommandId, Input, Outcome};
 
 use super::machine::Node;
-use super::{command, is_refusal, ms, World};
+use super::{command, is_refusal, ms, Simulation};
 
-/// A caller waits so long for an answer, then tries another process.
-const PATIENCE: Duration = Duration::from_millis(1000);
-/// It gives up after so long.
-const GIVES_UP: Duration = Duration::from_millis(9000);
+/// How long a caller waits for an answer before it tries another process.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1000);
+/// How long after its first attempt a caller gives up.
+const CALL_TIMEOUT: Duration = Duration::from_millis(9000);
 
-/// Why an operator wakes.
+/// The reason for which an operator wakes.
 #[derive(Clone, Copy, Debug)]
 pub enum Wake {
-    /// To send something new.
+    /// Submit the next command.
     New,
-    /// To see whether a call was answered.
-    Look { call: usize, attempt: u64 },
+    /// Check whether a call was answered, and retry it otherwise.
+    CheckAnswer { call: usize, attempt: u64 },
 }
 
-/// One change on its way.
+/// A submitted command and its outcome.
 #[derive(Debug)]
 pub struct Call {
     pub command: Arc<Command>,
@@ -32,35 +33,35 @@
     pub ended: Option<(Duration, Option<Outcome>)>,
 }
 
-/// All operators.
+/// The state of all operators.
 #[derive(Default)]
 pub struct Operators {
     pub calls: Vec<Call>,
-    /// The newest version that an operator knows of.
+    /// The newest version known to the operators.
     known: u64,
     next_key: u64,
     keys: HashMap<u64, (usize, u64, usize)>,
     salt: u64,
-    /// Operators don't call this one.
-    pub avoid: Option<usize>,
-    /// Of a hundred answers.
+    /// A node to which operators submit nothing.
+    pub avoided_node: Option<usize>,
+    /// Answers lost, per hundred.
     pub answers_lost: u64,
-    /// Changes come at such intervals; none if zero.
+    /// The mean interval between changes; no changes if zero.
     pub interval: Duration,
 }
 
 impl Operators {
-    /// Whoever called a process that died hears nothing.
-    pub fn lose(&mut self, place: usize) {
-        self.keys.retain(|_, (_, _, at)| *at != place);
+    /// Drops the pending calls to a process that died: they get no answer.
+    pub fn drop_calls_to(&mut self, index: usize) {
+        self.keys.retain(|_, (_, _, at)| *at != index);
     }
 }
 
-impl World {
-    pub fn operator_wakes(&mut self, wake: Wake) {
+impl Simulation {
+    pub fn wake_operator(&mut self, wake: Wake) {
         match wake {
             Wake::New => {
-                self.send_something();
+                self.send_random_command();
                 let interval = self.operators.interval;
                 if interval > Duration::ZERO {
                     let pause = interval / 2
@@ -68,37 +69,37 @@
                     self.wake_operator_at(self.now + pause, Wake::New);
                 }
             }
-            Wake::Look { call, attempt } => self.look(call, attempt),
+            Wake::CheckAnswer { call, attempt } => self.check_answer(call, attempt),
         }
     }
 
-    fn send_something(&mut self) {
+    fn send_random_command(&mut self) {
         let base = self.operators.known;
         let step = self.random.u64(1..4);
         match self.random.u32(0..100) {
-            0..=59 => self.call_new(base, base + step),
+            0..=59 => self.submit_new(base, base + step),
             60..=79 => {
                 let other = base + step + self.random.u64(0..2);
-                self.call_new(base, base + step);
-                self.call_new(base, other);
+                self.submit_new(base, base + step);
+                self.submit_new(base, other);
             }
-            80..=86 => self.call_old(),
-            87..=90 => self.call_new(base, base),
-            91..=95 => self.call_new(base.saturating_sub(step), base + 1),
-            _ => self.call_new(base + step, base + 5),
+            80..=86 => self.resubmit_earlier(),
+            87..=90 => self.submit_new(base, base),
+            91..=95 => self.submit_new(base.saturating_sub(step), base + 1),
+            _ => self.submit_new(base + step, base + 5),
         }
     }
 
-    /// Sends a new change.
-    pub fn call_new(&mut self, if_match: u64, generation: u64) {
-        self.strike_after_a_change();
+    /// Submits a new change.
+    pub fn submit_new(&mut self, if_match: u64, generation: u64) {
+        self.trigger_on_change();
         self.operators.salt += 1;
         let command = command(if_match, generation, self.operators.salt);
         self.call(command);
     }
 
-    /// Sends an earlier change again.
-    fn call_old(&mut self) {
+    /// Submits a random earlier change again.
+    fn resubmit_earlier(&mut self) {
         if self.operators.calls.is_empty() {
             return;
         }
@@ -113,9 +114,9 @@
     }
 
     fn try_call(&mut self, call: usize) {
-        let mut place = self.random.usize(0..self.nodes.len());
-        if self.operators.avoid == Some(place) {
-            place = (place + 1) % self.nodes.len();
+        let mut index = self.random.usize(0..self.nodes.len());
+        if self.operators.avoided_node == Some(index) {
+            index = (index + 1) % self.nodes.len();
         }
         let operators = &mut self.operators;
         operators.calls[call].attempt += 1;
@@ -123,37 +124,37 @@
         let key = operators.next_key;
         operators.next_key += 1;
         let command = operators.calls[call].command.clone();
-        let node = &self.nodes[place];
+        let node = &self.nodes[index];
         let refused = node.replica.is_none();
-        let patience = if refused { ms(50) } else { PATIENCE };
+        let timeout = if refused { ms(50) } else { ANSWER_TIMEOUT };
         if !refused && !node.frozen {
-            operators.keys.insert(key, (call, attempt, place));
-            match as_taken_up(node, &command) {
-                Some(command) => self.input(place, Input::Submit { key: CommandId(key), command }),
-                None => self.operator_answered(place, CommandId(key), Outcome::Unknown),
+            operators.keys.insert(key, (call, attempt, index));
+            match resolve_patch(node, &command) {
+                Some(command) => self.input(index, Input::Submit { key: CommandId(key), command }),
+                None => self.operator_answered(index, CommandId(key), Outcome::Unknown),
             }
         }
-        self.wake_operator_at(self.now + patience, Wake::Look { call, attempt });
+        self.wake_operator_at(self.now + timeout, Wake::CheckAnswer { call, attempt });
     }
 
-    fn look(&mut self, call: usize, attempt: u64) {
+    fn check_answer(&mut self, call: usize, attempt: u64) {
         let now = self.now;
         let known = &mut self.operators.calls[call];
         if known.ended.is_some() || known.attempt != attempt {
             return;
         }
-        if now >= known.since + GIVES_UP {
+        if now >= known.since + CALL_TIMEOUT {
             known.ended = Some((now, None));
             return;
         }
         self.try_call(call);
     }
 
-    pub fn operator_answered(&mut self, place: usize, key: CommandId, outcome: Outcome) {
+    pub fn operator_answered(&mut self, index: usize, key: CommandId, outcome: Outcome) {
         let now = self.now;
         let lost = self.random.u64(0..100) < self.operators.answers_lost;
         let Some((call, attempt, at)) = self.operators.keys.remove(&key.0) else { return };
-        assert_eq!(at, place, "answered where it was submitted");
+        assert_eq!(at, index, "answered where it was submitted");
         let known = &mut self.operators.calls[call];
         let current = known.attempt == attempt && known.ended.is_none();
         if lost || !current {
@@ -162,25 +163,26 @@
         let command = known.command.clone();
         match outcome {
             Outcome::Unknown => {
-                self.wake_operator_at(now + ms(100), Wake::Look { call, attempt });
+                self.wake_operator_at(now + ms(100), Wake::CheckAnswer { call, attempt });
                 return;
             }
             Outcome::Committed => {
-                if self.counts_copies_again {
+                if self.checks_copies_on_acknowledgement {
                     self.check_copies("acknowledged", &command);
                 }
                 self.checks.acknowledged(now, &command);
-                self.strike_after_an_acknowledgement();
+                self.trigger_on_acknowledgement();
             }
             Outcome::Conflict { .. } | Outcome::Invalid { .. } => self.checks.refused(now, &command),
         }
-        known_end(self, call, now, outcome);
+        finish_call(self, call, now, outcome);
     }
 }
 
-/// Half of the commands are patches: what a process makes of one depends on the newest version that it knows to be
-/// committed. Past the patch's base it can only ask whether the patch was taken, before it there is nothing to patch.
-fn as_taken_up(node: &Node, command: &Arc<Command>) -> Option<Arc<Command>> {
+/// Treats half of the commands as patches, whose resolution depends on the newest version that the process
+/// knows to be committed. If that is past the base of the patch, the process can only inquire whether the
+/// patch was committed; if it is before the base, there is nothing to patch and the result is `None`.
+fn resolve_patch(node: &Node, command: &Arc<Command>) -> Option<Arc<Command>> {
     let is_patch = command.digest.is_multiple_of(2);
     let newest = node.replica.as_ref().and_then(|replica| replica.newest_committed());
     let known = newest.map_or(0, |entry| entry.command.generation);
@@ -191,8 +193,8 @@
         .then(|| Arc::new(Command::inquiry(command.if_match, command.generation, command.digest)))
 }
 
-fn known_end(world: &mut World, call: usize, now: Duration, outcome: Outcome) {
-    let operators = &mut world.operators;
+fn finish_call(sim: &mut Simulation, call: usize, now: Duration, outcome: Outcome) {
+    let operators = &mut sim.operators;
     operators.calls[call].ended = Some((now, Some(outcome)));
     let newest = match outcome {
         Outcome::Committed => operators.calls[call].command.generation,
--- a/crates/control/tests/unit/model.rs
+++ b/crates/control/tests/unit/model.rs
@@ -1,7 +1,8 @@
-//! A model of the view change: real replicas, every order in which their messages arrive or are lost, proposers that
-//! disagree about whom to leave out, a write on its way, and a restart from the disk.
+//! Model checking of view changes with real replicas: all orders in which messages arrive or are lost,
+//! proposers that disagree about which member to exclude, a write in progress, and a restart from the disk.
 //!
-//! Time stands still and syncs are at once: what is lost of unsynced writes is for the schedules.
+//! Time does not advance and syncs complete at once. The loss of unsynced writes is tested by the simulated
+//! schedules.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -21,12 +22,12 @@
 
 const NOW: Duration = Duration::from_millis(100);
 
-/// What is explored.
-struct EntryHeader {
+/// The configuration of a model run.
+struct ViewChangeModel {
     members: usize,
-    /// The first chain.
+    /// The initial chain.
     chain: &'static [usize],
-    /// Who may propose, whom it leaves out, and how often.
+    /// For each proposer: its index, the member it excludes, and its maximum number of proposals.
     proposers: &'static [(usize, Option<usize>, usize)],
     commands: usize,
     restarts: usize,
@@ -41,20 +42,20 @@
 #[derive(Clone, Debug)]
 struct State {
     nodes: Vec<Node>,
-    /// On their way, in the order of their fingerprints.
+    /// Messages in flight, sorted by their fingerprints.
     messages: Vec<(u64, Message)>,
     proposed: Vec<usize>,
     commands: usize,
     restarts: usize,
     views: BTreeMap<u64, View>,
     committed: BTreeMap<u64, EntryId>,
-    /// The versions; a command's key is its version.
+    /// The acknowledged versions; the key of a command is its version.
     acknowledged: Vec<u64>,
-    /// What broke, if anything did.
-    broken: Option<&'static str>,
+    /// The violated property, if any.
+    violation: Option<&'static str>,
 }
 
-/// All that tells one replica from another, times and random numbers left out.
+/// Hashes the state of a replica, except for times and random numbers.
 fn hash_replica<H: Hasher>(replica: &Replica, state: &mut H) {
     replica.view.hash(state);
     replica.acceptor.promised.hash(state);
@@ -75,13 +76,13 @@
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        (&self.proposed, self.commands, self.restarts, &self.acknowledged, &self.broken).hash(state);
+        (&self.proposed, self.commands, self.restarts, &self.acknowledged, &self.violation).hash(state);
         for node in &self.nodes {
             hash_replica(&node.replica, state);
             node.disk.len().hash(state);
         }
-        for (text, _) in &self.messages {
-            text.hash(state);
+        for (hash, _) in &self.messages {
+            hash.hash(state);
         }
     }
 }
@@ -100,51 +101,51 @@
     Restart(usize),
 }
 
-fn address(place: usize) -> SocketAddr {
-    SocketAddr::from(([10, 0, 0, place as u8], 1))
+fn address(index: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, index as u8], 1))
 }
 
-fn id(place: usize) -> MemberId {
-    MemberId(place as u64 + 1)
+fn id(index: usize) -> MemberId {
+    MemberId(index as u64 + 1)
 }
 
-fn options(place: usize) -> Options {
+fn options(index: usize) -> Options {
     Options {
-        address: address(place),
+        address: address(index),
         zone: "z".to_string(),
         seeds: Vec::new(),
         bootstrap: false,
         durable: true,
         tolerate_nodes: 1,
         tolerate_zones: 0,
-        entropy: place as u64,
+        entropy: index as u64,
         timing: Timing::default(),
     }
 }
 
 impl State {
-    /// Takes what a replica puts out; syncs are at once.
-    fn perform(&mut self, place: usize, outputs: Vec<Output>) {
+    /// Applies the outputs of a replica; syncs complete at once.
+    fn perform(&mut self, index: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Send { message, to } => self.send(message, to),
                 Output::Persist { write_id, records } => {
-                    self.nodes[place].disk.extend(records);
-                    self.input(place, Input::Persisted(write_id));
+                    self.nodes[index].disk.extend(records);
+                    self.input(index, Input::Persisted(write_id));
                 }
                 Output::Answer { outcome: Outcome::Committed, key } => self.acknowledged.push(key.0),
                 Output::Answer { .. } | Output::DepartureAnswer { .. } => {}
                 Output::Committed(entry) => {
                     let known = *self.committed.entry(entry.id.position).or_insert(entry.id);
                     if known != entry.id {
-                        self.broken = Some("two entries at a position");
+                        self.violation = Some("two entries at a position");
                     }
                 }
-                Output::Violation(_) => self.broken = Some("an invariant"),
+                Output::Violation(_) => self.violation = Some("a replica reported a violated invariant"),
                 Output::ViewChanged(view) => {
                     let known = self.views.entry(view.epoch).or_insert_with(|| view.clone());
                     if *known != view {
-                        self.broken = Some("two views of an epoch");
+                        self.violation = Some("two views of an epoch");
                     }
                 }
             }
@@ -152,22 +153,22 @@
     }
 
     fn send(&mut self, message: Message, to: SocketAddr) {
-        // Of heartbeats only what opens a view matters here.
+        // Only heartbeats that open a view affect the model.
         if matches!(&message.body, Body::Heartbeat(heartbeat) if !heartbeat.opened) {
             return;
         }
-        let text = fingerprint(&format!("{to}{message:?}"));
-        if let Err(at) = self.messages.binary_search_by_key(&text, |(known, _)| *known) {
-            self.messages.insert(at, (text, message));
+        let hash = fingerprint(&format!("{to}{message:?}"));
+        if let Err(at) = self.messages.binary_search_by_key(&hash, |(known, _)| *known) {
+            self.messages.insert(at, (hash, message));
         }
     }
 
-    /// Leaves out what can change nothing any more: that it arrives is as if it were lost.
+    /// Removes messages that can no longer change any state: delivering them is equivalent to losing them.
     fn prune(&mut self) {
         let nodes = &self.nodes;
         self.messages.retain(|(_, message)| {
-            let place = message.target.map_or(0, |target| target.0 as usize - 1);
-            let replica = &nodes[place].replica;
+            let index = message.target.map_or(0, |target| target.0 as usize - 1);
+            let replica = &nodes[index].replica;
             let epoch = replica.view.epoch;
             match &message.body {
                 Body::Heartbeat(heartbeat) => heartbeat.epoch >= epoch,
@@ -185,30 +186,30 @@
         });
     }
 
-    fn input(&mut self, place: usize, input: Input) {
+    fn input(&mut self, index: usize, input: Input) {
         let mut outputs = Vec::new();
-        self.nodes[place].replica.handle(NOW, input, &mut outputs);
-        self.perform(place, outputs);
+        self.nodes[index].replica.handle(NOW, input, &mut outputs);
+        self.perform(index, outputs);
     }
 
     fn deliver(&mut self, at: usize) {
         let (_, message) = self.messages.remove(at);
-        let place = message.target.map_or(0, |target| target.0 as usize - 1);
-        self.input(place, Input::Message(message));
+        let index = message.target.map_or(0, |target| target.0 as usize - 1);
+        self.input(index, Input::Message(message));
     }
 }
 
-impl EntryHeader {
-    fn first(&self) -> State {
+impl ViewChangeModel {
+    fn initial_state(&self) -> State {
         let members = (0..self.members)
-            .map(|place| Member {
-                id: id(place),
-                address: address(place),
+            .map(|index| Member {
+                id: id(index),
+                address: address(index),
                 zone: "z".to_string(),
                 durable: true,
             })
             .collect();
-        let chain = self.chain.iter().map(|place| id(*place)).collect();
+        let chain = self.chain.iter().map(|index| id(*index)).collect();
         let view = View { epoch: 1, members, chain, start: EntryId::default() };
         let mut state = State {
             nodes: Vec::new(),
@@ -219,16 +220,16 @@
             views: BTreeMap::new(),
             committed: BTreeMap::new(),
             acknowledged: Vec::new(),
-            broken: None,
+            violation: None,
         };
-        for place in 0..self.members {
-            let identity = RecordBody::Identity { id: id(place), bootstrap: Vec::new() };
+        for index in 0..self.members {
+            let identity = RecordBody::Identity { id: id(index), bootstrap: Vec::new() };
             let entered = RecordBody::Entered(Box::new(view.clone()));
             let disk = vec![Record { number: 1, body: identity }, Record { number: 2, body: entered }];
-            let node = self.start(place, &disk);
+            let node = self.start(index, &disk);
             state.nodes.push(Node { replica: node, disk });
         }
-        // The first view opens, from the head down.
+        // Opens the initial view, from the head to the tail.
         for pair in self.chain.windows(2) {
             let heartbeat = state.nodes[pair[0]].replica.clone();
             let mut outputs = Vec::new();
@@ -247,15 +248,15 @@
         state
     }
 
-    /// A replica from its disk, with its own opinion of the others.
-    fn start(&self, place: usize, disk: &[Record]) -> Replica {
-        let mut replica = Replica::restore(NOW, options(place), disk.to_vec(), &mut Vec::new());
-        let opinion = self.proposers.iter().find(|(proposer, _, _)| *proposer == place);
-        let left_out = opinion.and_then(|(_, left_out, _)| left_out.map(id));
+    /// Restores a replica from its disk. A proposer considers the member that it excludes unhealthy.
+    fn start(&self, index: usize, disk: &[Record]) -> Replica {
+        let mut replica = Replica::restore(NOW, options(index), disk.to_vec(), &mut Vec::new());
+        let opinion = self.proposers.iter().find(|(proposer, _, _)| *proposer == index);
+        let excluded = opinion.and_then(|(_, excluded, _)| excluded.map(id));
         replica.proposer.healthy_since = Some(Duration::ZERO);
         for peer in replica.peers.voters_mut() {
-            if Some(peer.sender.id) == left_out {
-                peer.heartbeat = Some(unhealthy_heartbeat());
+            if Some(peer.sender.id) == excluded {
+                peer.heartbeat = Some(unhealthy_disk_heartbeat());
             } else {
                 (peer.last_seen, peer.echoed_at, peer.healthy_since) =
                     (Some(NOW), Some(NOW), Some(Duration::ZERO));
@@ -265,8 +266,8 @@
     }
 }
 
-/// What a member with a sick disk says, once and for all.
-fn unhealthy_heartbeat() -> Heartbeat {
+/// A heartbeat that reports an unhealthy disk; its sequence number prevents later ones from replacing it.
+fn unhealthy_disk_heartbeat() -> Heartbeat {
     Heartbeat {
         sent: Echo { incarnation: 0, sent: u64::MAX },
         echo: None,
@@ -284,21 +285,21 @@
     }
 }
 
-impl Model for EntryHeader {
+impl Model for ViewChangeModel {
     type State = State;
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        vec![self.first()]
+        vec![self.initial_state()]
     }
 
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
-        if state.broken.is_some() {
+        if state.violation.is_some() {
             return;
         }
-        for (at, (place, _, most)) in self.proposers.iter().enumerate() {
-            let epoch = state.nodes[*place].replica.view.epoch;
-            if state.proposed[at] < *most && epoch <= 2 {
+        for (at, (index, _, limit)) in self.proposers.iter().enumerate() {
+            let epoch = state.nodes[*index].replica.view.epoch;
+            if state.proposed[at] < *limit && epoch <= 2 {
                 steps.push(Step::Propose(at));
             }
         }
@@ -315,10 +316,10 @@
         let mut state = last.clone();
         match step {
             Step::Propose(at) => {
-                let place = self.proposers[at].0;
+                let index = self.proposers[at].0;
                 state.proposed[at] += 1;
-                state.nodes[place].replica.start_proposal();
-                state.input(place, Input::SeedsChanged(Vec::new()));
+                state.nodes[index].replica.start_proposal();
+                state.input(index, Input::SeedsChanged(Vec::new()));
             }
             Step::Command => {
                 state.commands += 1;
@@ -328,12 +329,12 @@
                 state.input(head, Input::Submit { key: CommandId(generation), command });
             }
             Step::Deliver(at) => state.deliver(at),
-            Step::Restart(place) => {
+            Step::Restart(index) => {
                 state.restarts += 1;
-                let disk = state.nodes[place].disk.clone();
-                let mut replica = self.start(place, &disk);
+                let disk = state.nodes[index].disk.clone();
+                let mut replica = self.start(index, &disk);
                 replica.incarnation += state.restarts as u64;
-                state.nodes[place].replica = replica;
+                state.nodes[index].replica = replica;
             }
         }
         state.prune();
@@ -343,7 +344,7 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::<Self>::always("one view an epoch, one entry a position", |_, state| {
-                state.broken.is_none()
+                state.violation.is_none()
             }),
             Property::<Self>::always(
                 "what was acknowledged is on each replica of the newest chain",
@@ -357,7 +358,7 @@
                         .all(|replica| state.acknowledged.iter().all(|version| holds(replica, *version)))
                 },
             ),
-            Property::<Self>::sometimes("an order is taken", |_, state| !state.acknowledged.is_empty()),
+            Property::<Self>::sometimes("a command is committed", |_, state| !state.acknowledged.is_empty()),
             Property::<Self>::sometimes("a view is changed", |_, state| state.views.contains_key(&2)),
             Property::<Self>::sometimes("a changed view opens", |_, state| {
                 state.nodes.iter().any(|node| {
@@ -373,12 +374,12 @@
     replica.state.headers().iter().any(|change| change.generation == version)
 }
 
-/// Explores all, or as many states as `CONTROL_MODEL_STATES` says.
-fn check(name: &str, model: EntryHeader) {
-    let most =
+/// Explores at most `CONTROL_MODEL_STATES` states, 150,000 by default, and checks the properties.
+fn check(name: &str, model: ViewChangeModel) {
+    let limit =
         std::env::var("CONTROL_MODEL_STATES").ok().and_then(|text| text.parse().ok()).unwrap_or(150_000);
     let commands = model.commands;
-    let checker = model.checker().threads(2).target_state_count(most).spawn_dfs().join();
+    let checker = model.checker().threads(2).target_state_count(limit).spawn_dfs().join();
     println!(
         "{name}: {} states, {} unique, depth {}",
         checker.state_count(),
@@ -388,21 +389,26 @@
     checker.assert_no_discovery("one view an epoch, one entry a position");
     checker.assert_no_discovery("what was acknowledged is on each replica of the newest chain");
     if commands > 0 {
-        checker.assert_any_discovery("an order is taken");
+        checker.assert_any_discovery("a command is committed");
     }
     checker.assert_any_discovery("a changed view opens");
 }
 
 #[test]
 fn a_proposer_outside_the_chain_and_a_write() {
-    let model =
-        EntryHeader { members: 3, chain: &[0, 1], proposers: &[(2, Some(0), 1)], commands: 1, restarts: 0 };
+    let model = ViewChangeModel {
+        members: 3,
+        chain: &[0, 1],
+        proposers: &[(2, Some(0), 1)],
+        commands: 1,
+        restarts: 0,
+    };
     check("a proposer outside the chain, a write", model);
 }
 
 #[test]
 fn a_proposer_in_the_chain_and_a_write() {
-    let model = EntryHeader {
+    let model = ViewChangeModel {
         members: 3,
         chain: &[0, 1, 2],
         proposers: &[(1, Some(0), 1)],
@@ -415,27 +421,32 @@
 #[test]
 fn two_proposers() {
     let proposers = &[(0, Some(2), 1), (1, Some(0), 1)];
-    let model = EntryHeader { members: 3, chain: &[0, 1, 2], proposers, commands: 0, restarts: 0 };
+    let model = ViewChangeModel { members: 3, chain: &[0, 1, 2], proposers, commands: 0, restarts: 0 };
     check("two proposers", model);
 }
 
 #[test]
 fn two_proposers_and_a_write() {
     let proposers = &[(0, Some(2), 1), (2, Some(0), 1)];
-    let model = EntryHeader { members: 3, chain: &[0, 1], proposers, commands: 1, restarts: 0 };
+    let model = ViewChangeModel { members: 3, chain: &[0, 1], proposers, commands: 1, restarts: 0 };
     check("two proposers, a write", model);
 }
 
 #[test]
 fn a_restart_in_the_middle() {
-    let model =
-        EntryHeader { members: 3, chain: &[0, 1], proposers: &[(2, Some(0), 2)], commands: 1, restarts: 1 };
+    let model = ViewChangeModel {
+        members: 3,
+        chain: &[0, 1],
+        proposers: &[(2, Some(0), 2)],
+        commands: 1,
+        restarts: 1,
+    };
     check("one proposer twice, a write, a restart", model);
 }
 
 #[test]
 fn a_voter_restarts_between_two_proposers() {
     let proposers = &[(0, Some(2), 1), (1, Some(0), 1)];
-    let model = EntryHeader { members: 3, chain: &[0, 1, 2], proposers, commands: 0, restarts: 1 };
+    let model = ViewChangeModel { members: 3, chain: &[0, 1, 2], proposers, commands: 0, restarts: 1 };
     check("two proposers, a restart", model);
 }
