--- a/crates/registry/tests/convergence.rs
+++ b/crates/registry/tests/convergence.rs
@@ -1,5 +1,5 @@
-//! Random interleavings of heartbeats, announcements that are lost, repeated and delayed, restarts and crashes:
-//! all converge, and no acknowledged drain is ever undone at a gateway.
+//! Random interleavings of heartbeats, lost, duplicated and delayed announcements, restarts and crashes: the
+//! views of all processes and gateways converge, and no acknowledged drain is ever undone at a gateway.
 
 mod support;
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn all_converge_and_no_drain_is_undone() {
+fn all_views_converge_and_no_drain_is_undone() {
     for seed in 0..SCHEDULES {
         let random = &mut fastrand::Rng::with_seed(seed);
         let fault_rates = FaultRates {
--- a/crates/registry/tests/gateways.rs
+++ b/crates/registry/tests/gateways.rs
@@ -1,4 +1,4 @@
-//! Gateways: their leases, their number, and which home each follows.
+//! Gateways: their leases, their count, and the choice of the home that each follows.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn leases_are_told_as_changes_only_and_end() {
+fn leases_are_announced_only_on_change_and_expire() {
     let (mut first, mut second) =
         (GatewayLeases::new(at(0), ProcessId(1)), GatewayLeases::new(at(0), ProcessId(2)));
     first.peer_up(at(0), ProcessId(2));
@@ -32,7 +32,8 @@
         first.tick(at(110 + 250 * step));
         second.tick(at(110 + 250 * step));
     }
-    // It goes on to the second process: the end of its lease at the first one says nothing any more.
+    // The gateway moves to the second process: the expiry of its lease at the first one is no longer
+    // announced.
     let moved = second.renew(at(5_000), GatewayId(7), "n", "z", 21).unwrap();
     first.merge(at(5_010), &moved);
     let mut seq = 22;
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn the_count_falls_no_faster_than_leases_end() {
+fn the_count_falls_no_faster_than_leases_expire() {
     let mut leases = GatewayLeases::new(at(0), ProcessId(1));
     for gateway in 0..13 {
         assert!(renew(&mut leases, 100, gateway, 1));
@@ -91,7 +92,7 @@
 }
 
 #[test]
-fn a_gateway_believes_a_lower_count_late() {
+fn a_gateway_adopts_a_lower_count_with_delay() {
     let mut count = GatewayCount::new();
     assert_eq!(count.count(), None);
     count.update(at(0), GatewayTotal { count: 13, states_absence: true });
@@ -119,7 +120,7 @@
     (0..count).map(|zone| HomeCandidate { address: address(zone), zone: format!("zone-{zone}") }).collect()
 }
 
-fn choice(zone: usize, seed: u64) -> HomeSelector {
+fn selector(zone: usize, seed: u64) -> HomeSelector {
     let settings = HomeSelectorSettings {
         zone: format!("zone-{zone}"),
         regions: zones(25),
@@ -131,66 +132,67 @@
 const FRESH: HomeStatus = HomeStatus { configuration_age: Some(Duration::from_millis(100)) };
 const STALE: HomeStatus = HomeStatus { configuration_age: Some(Duration::from_secs(3)) };
 
-/// Polls each 50 ms and answers dials; the home that is followed in the end.
-fn settle(
-    choice: &mut HomeSelector,
+/// Polls the selector every 50 ms and records the answers of `answer` for dialed and followed homes.
+fn poll_until(
+    selector: &mut HomeSelector,
     from: u64,
     until: u64,
     answer: impl Fn(SocketAddr) -> Option<HomeStatus>,
 ) {
     for now in (from..until).step_by(50) {
-        for action in choice.poll(at(now)) {
+        for action in selector.poll(at(now)) {
             if let HomeAction::Dial(home) = action {
                 match answer(home) {
-                    Some(answer) => choice.record_answer(at(now), home, answer),
-                    None => choice.record_failure(at(now), home),
+                    Some(answer) => selector.record_answer(at(now), home, answer),
+                    None => selector.record_failure(at(now), home),
                 }
             }
         }
-        if let Some(home) = choice.followed_home() {
+        if let Some(home) = selector.followed_home() {
             match answer(home) {
-                Some(answer) => choice.record_answer(at(now), home, answer),
-                None => choice.record_failure(at(now), home),
+                Some(answer) => selector.record_answer(at(now), home, answer),
+                None => selector.record_failure(at(now), home),
             }
-            choice.set_members(at(now), &candidates(25));
+            selector.set_members(at(now), &candidates(25));
         }
     }
 }
 
 #[test]
-fn the_own_zone_is_followed_then_the_region_then_the_rest() {
-    let mut choice = choice(7, 3);
-    settle(&mut choice, 0, 3_000, |_| Some(FRESH));
-    assert_eq!(choice.followed_home(), Some(address(7)));
-    settle(&mut choice, 3_000, 6_000, |home| (home != address(7)).then_some(FRESH));
-    let followed = choice.followed_home().unwrap();
+fn homes_are_chosen_by_zone_then_region_then_any() {
+    let mut selector = selector(7, 3);
+    poll_until(&mut selector, 0, 3_000, |_| Some(FRESH));
+    assert_eq!(selector.followed_home(), Some(address(7)));
+    poll_until(&mut selector, 3_000, 6_000, |home| (home != address(7)).then_some(FRESH));
+    let followed = selector.followed_home().unwrap();
     assert!((5..10).map(address).any(|region| region == followed), "{followed}");
-    settle(&mut choice, 6_000, 12_000, |home| {
+    poll_until(&mut selector, 6_000, 12_000, |home| {
         (!(5..10).map(address).any(|near| near == home)).then_some(FRESH)
     });
-    assert!(choice.followed_home().is_some());
-    settle(&mut choice, 12_000, 30_000, |_| Some(FRESH));
-    assert_eq!(choice.followed_home(), Some(address(7)));
+    assert!(selector.followed_home().is_some());
+    poll_until(&mut selector, 12_000, 30_000, |_| Some(FRESH));
+    assert_eq!(selector.followed_home(), Some(address(7)));
 }
 
 #[test]
-fn a_stale_home_is_left_for_a_fresh_one_and_kept_if_there_is_none() {
-    let mut choice = choice(1, 5);
-    settle(&mut choice, 0, 3_000, |_| Some(FRESH));
-    assert_eq!(choice.followed_home(), Some(address(1)));
-    settle(&mut choice, 3_000, 5_000, |home| Some(if home == address(1) { STALE } else { FRESH }));
-    assert_ne!(choice.followed_home(), Some(address(1)));
+fn a_stale_home_is_replaced_by_a_fresh_one_and_kept_if_there_is_none() {
+    let mut selector = selector(1, 5);
+    poll_until(&mut selector, 0, 3_000, |_| Some(FRESH));
+    assert_eq!(selector.followed_home(), Some(address(1)));
+    poll_until(&mut selector, 3_000, 5_000, |home| Some(if home == address(1) { STALE } else { FRESH }));
+    assert_ne!(selector.followed_home(), Some(address(1)));
     let least_stale = |home| HomeStatus {
         configuration_age: Some(Duration::from_secs(if home == address(4) { 2 } else { 9 })),
     };
-    settle(&mut choice, 5_000, 60_000, |home| Some(least_stale(home)));
-    assert_eq!(choice.followed_home(), Some(address(4)));
+    poll_until(&mut selector, 5_000, 60_000, |home| Some(least_stale(home)));
+    assert_eq!(selector.followed_home(), Some(address(4)));
 }
 
-/// 1,100 gateways lose all 25 homes for 5 s.
+/// All 25 homes are down for 5 s: the dial rate of 1,100 gateways is bounded, and all soon have a home again.
 #[test]
 fn retries_of_a_whole_fleet_are_bounded() {
-    let mut gateways: Vec<HomeSelector> = (0..1_100).map(|index| choice(index % 25, index as u64)).collect();
+    let mut gateways: Vec<HomeSelector> =
+        (0..1_100).map(|index| selector(index % 25, index as u64)).collect();
     let mut dials = vec![0_usize; 30];
     let mut homeless_until = 0;
     for now in (0..20_000).step_by(10) {
@@ -233,28 +235,28 @@
     assert!(homeless_until - 15_000 <= 2_500, "{homeless_until}");
 }
 
-/// How long a gateway goes on following its home, by the home's isolation, where another home of its region answers
-/// nothing (or does).
+/// Returns how long a gateway follows its home after the home was isolated, in milliseconds. Another home of
+/// its region does not answer if `second_is_silent` is set.
 fn time_to_leave_an_isolated_home(seed: u64, second_is_silent: bool) -> u64 {
     let (home, second) = (address(7), address(8));
-    let mut choice = choice(7, seed);
-    settle(&mut choice, 0, 8_000, |_| Some(FRESH));
-    assert_eq!(choice.followed_home(), Some(home));
-    // The isolation begins at any moment between two reports.
+    let mut selector = selector(7, seed);
+    poll_until(&mut selector, 0, 8_000, |_| Some(FRESH));
+    assert_eq!(selector.followed_home(), Some(home));
+    // The isolation begins at an arbitrary time between two reports.
     let cut = 8_000 + seed % 250;
     for now in (8_000_u64..20_000).step_by(10) {
         if now % 250 == 0 {
             let age = Duration::from_millis(100 + now.saturating_sub(cut));
-            choice.record_answer(at(now), home, HomeStatus { configuration_age: Some(age) });
+            selector.record_answer(at(now), home, HomeStatus { configuration_age: Some(age) });
         }
-        for action in choice.poll(at(now)) {
+        for action in selector.poll(at(now)) {
             match action {
                 HomeAction::Dial(other) if second_is_silent && other == second => {}
-                HomeAction::Dial(other) => choice.record_answer(at(now), other, FRESH),
+                HomeAction::Dial(other) => selector.record_answer(at(now), other, FRESH),
                 HomeAction::Follow(_) | HomeAction::Close(_) => {}
             }
         }
-        if choice.followed_home() != Some(home) {
+        if selector.followed_home() != Some(home) {
             return now - cut;
         }
     }
@@ -269,7 +271,7 @@
 }
 
 #[test]
-fn an_isolated_home_is_left_soon_where_the_next_one_is_silent() {
+fn an_isolated_home_is_left_within_a_second_if_the_next_is_silent() {
     let slowest = (0..500).map(|seed| time_to_leave_an_isolated_home(seed, true)).max().unwrap();
     println!("with a silent one in between it is left after {slowest} ms at most");
     assert!(slowest <= 1_000, "{slowest} ms");
--- a/crates/registry/tests/path.rs
+++ b/crates/registry/tests/path.rs
@@ -1,4 +1,4 @@
-//! The ordinary path: a heartbeat at one process reaches a gateway of another.
+//! The path without faults: a heartbeat at one process reaches a gateway that follows another process.
 
 use std::time::Duration;
 
--- a/crates/registry/tests/rules.rs
+++ b/crates/registry/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The registry's rules, one by one.
+//! The merge and expiry rules of the registry.
 
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
     heartbeat(port, seq, HeartbeatState::Draining)
 }
 
-/// Calls `tick` each 200 ms until a time, as a host does.
+/// Calls `tick` every 200 ms, as a host does. Returns the announcements.
 fn tick_until(registry: &mut Registry, from: u64, until: u64) -> Vec<Announcement> {
     let times = (from..=until).step_by(200);
     times.filter_map(|time| registry.tick(at(time))).collect()
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn draining_is_never_unsaid() {
+fn draining_is_never_revoked() {
     let mut registry = registry(at(0), 1);
     registry.heartbeat(at(100), "i", draining(1, 1)).unwrap();
     registry.heartbeat(at(200), "i", ready(1, 2)).unwrap();
@@ -75,16 +75,17 @@
     assert_eq!(state(&registry, 400, "i"), Some(BackendState::Gone));
 }
 
-/// Words about one backend, told in every order, leave the same behind.
+/// The announcements of one backend lead to the same record in every order of merging, also if they are
+/// repeated.
 #[test]
-fn the_order_of_words_does_not_matter() {
-    let words = words_about_one_backend();
-    let orders = permutations(words.len());
+fn the_order_of_announcements_does_not_matter() {
+    let announcements = announcements_of_one_backend();
+    let orders = permutations(announcements.len());
     let mut ends = orders.iter().map(|order| {
         let mut registry = registry(at(0), 9);
         for index in order {
-            registry.merge(at(5_000), &words[*index]);
-            registry.merge(at(5_000), &words[*index]);
+            registry.merge(at(5_000), &announcements[*index]);
+            registry.merge(at(5_000), &announcements[*index]);
         }
         registry.record("i").cloned().unwrap()
     });
@@ -93,20 +94,20 @@
     assert!(ends.all(|end| end == first));
 }
 
-/// Ready at one process, draining at a second, heard again and silent at a third.
-fn words_about_one_backend() -> Vec<Announcement> {
-    let mut words = Vec::new();
+/// One backend is ready at one process, draining at a second, and ready, then silent, at a third.
+fn announcements_of_one_backend() -> Vec<Announcement> {
+    let mut announcements = Vec::new();
     let mut heard = |process: u64, heartbeat: Heartbeat| {
         let mut registry = registry(at(0), process);
-        words.extend(registry.heartbeat(at(100), "i", heartbeat).unwrap().announcement);
+        announcements.extend(registry.heartbeat(at(100), "i", heartbeat).unwrap().announcement);
         registry
     };
     heard(1, ready(1, 3));
     heard(2, draining(1, 5));
     let mut third = heard(3, ready(1, 6));
-    words.extend(tick_until(&mut third, 200, 4_000));
-    assert_eq!(words.len(), 4);
-    words
+    announcements.extend(tick_until(&mut third, 200, 4_000));
+    assert_eq!(announcements.len(), 4);
+    announcements
 }
 
 fn permutations(count: usize) -> Vec<Vec<usize>> {
@@ -125,12 +126,12 @@
 }
 
 #[test]
-fn silence_is_told_with_the_last_seq_and_ignored_by_who_knows_more() {
+fn silence_carries_the_last_seq_and_is_ignored_where_a_newer_one_is_known() {
     let (mut first, mut second) = (registry(at(0), 1), registry(at(0), 2));
     first.peer_up(at(0), ProcessId(2));
     second.peer_up(at(0), ProcessId(1));
-    let word = first.heartbeat(at(100), "i", ready(1, 4)).unwrap().announcement.unwrap();
-    second.merge(at(110), &word);
+    let announcement = first.heartbeat(at(100), "i", ready(1, 4)).unwrap().announcement.unwrap();
+    second.merge(at(110), &announcement);
     first.heartbeat(at(1_200), "i", ready(1, 5)).unwrap();
     let mut silent = tick_until(&mut first, 1_400, 4_400);
     assert_eq!(silent.len(), 1);
@@ -138,7 +139,7 @@
     assert_eq!((silent.backends[0].state, silent.backends[0].seq), (BackendState::Silent, 5));
     tick_until(&mut second, 200, 4_200);
 
-    // The backend has gone on to the second process, which has heard more.
+    // The backend has moved to the second process, which has received newer heartbeats.
     second.heartbeat(at(4_300), "i", ready(1, 6)).unwrap();
     second.heartbeat(at(4_400), "i", ready(1, 7)).unwrap();
     assert_eq!(second.merge(at(4_500), &silent), None);
@@ -146,7 +147,7 @@
 }
 
 #[test]
-fn a_wrong_word_of_silence_is_corrected() {
+fn a_wrong_announcement_of_silence_is_corrected() {
     let mut first = registry(at(0), 1);
     first.heartbeat(at(100), "i", ready(1, 4)).unwrap();
     first.heartbeat(at(300), "i", ready(1, 6)).unwrap();
@@ -160,24 +161,24 @@
 }
 
 #[test]
-fn the_newest_backend_holds_an_address() {
+fn the_newest_backend_keeps_a_shared_address() {
     let mut registry = registry(at(0), 1);
     registry.heartbeat(at(100), "old", ready(1, 4)).unwrap();
     let heard = registry.heartbeat(at(2_500), "new", ready(1, 1)).unwrap();
     assert_eq!(heard.announcement.unwrap().backends.len(), 2);
     assert_eq!(state(&registry, 2_500, "old"), Some(BackendState::Gone));
     assert_eq!(state(&registry, 2_500, "new"), Some(BackendState::Ready));
-    // A wrong judgement is corrected by the next heartbeat.
+    // If the older backend still runs, its next heartbeat corrects this.
     registry.heartbeat(at(2_600), "old", ready(1, 5)).unwrap();
     assert_eq!(state(&registry, 2_600, "old"), Some(BackendState::Ready));
 }
 
 #[test]
-fn what_only_a_dead_process_heard_is_silent_until_it_is_back() {
+fn backends_of_a_dead_process_are_silent_until_it_is_back() {
     let (mut first, mut second) = (registry(at(0), 1), registry(at(0), 2));
     second.peer_up(at(0), ProcessId(1));
-    let word = first.heartbeat(at(100), "i", ready(1, 4)).unwrap().announcement.unwrap();
-    second.merge(at(110), &word);
+    let announcement = first.heartbeat(at(100), "i", ready(1, 4)).unwrap().announcement.unwrap();
+    second.merge(at(110), &announcement);
     tick_until(&mut second, 200, 800);
     second.peer_down(at(1_000), ProcessId(1));
     tick_until(&mut second, 1_000, 4_800);
@@ -189,7 +190,7 @@
 }
 
 #[test]
-fn a_frozen_process_doubts_before_it_speaks() {
+fn a_process_does_not_state_absence_right_after_a_freeze() {
     let mut registry = registry(at(0), 1);
     registry.heartbeat(at(100), "i", ready(1, 4)).unwrap();
     assert!(tick_until(&mut registry, 200, 4_000).len() == 1);
@@ -201,7 +202,7 @@
 }
 
 #[test]
-fn a_restarted_home_says_nothing_about_absence_at_first() {
+fn a_restarted_home_does_not_state_absence_at_first() {
     let mut old = registry(at(0), 1);
     old.heartbeat(at(100), "a", ready(1, 4)).unwrap();
     old.heartbeat(at(100), "b", draining(2, 4)).unwrap();
@@ -227,7 +228,7 @@
         assert_eq!(builder.table().len(), expected, "at {time}");
         time += 200;
     }
-    // An isolated process does not speak about absence either.
+    // An isolated process does not state absence either.
     new.set_isolated(at(time), true);
     assert!(!new.states_absence(at(time + 10_000)));
 }
@@ -257,7 +258,7 @@
 }
 
 #[test]
-fn unsound_heartbeats_are_refused() {
+fn invalid_heartbeats_are_rejected() {
     let mut registry = registry(at(0), 1);
     let long = "x".repeat(129);
     let cases = [
@@ -276,7 +277,7 @@
 }
 
 #[test]
-fn an_ending_that_is_no_news_can_be_told_again() {
+fn an_unchanged_ending_can_be_announced_again() {
     let mut registry = registry(at(0), 1);
     assert_eq!(registry.announcement_of(at(0), "i"), None);
     registry.heartbeat(at(100), "i", ready(1, 1)).unwrap();
--- a/crates/registry/tests/serialized_format.rs
+++ b/crates/registry/tests/serialized_format.rs
@@ -1,8 +1,8 @@
-//! The serialized form of every message of this crate, against bytes that were written before.
+//! The serialized form of every message of this crate, compared with recorded bytes.
 //!
 //! Gateways and control-plane processes of different builds exchange these messages, so a renamed variant or
 //! a reordered field breaks a rolling upgrade. Each test builds the value itself, expects the recorded bytes
-//! and decodes them again. `BLESS_FIXTURES=1` records the bytes anew after an intended change.
+//! and decodes them again. `BLESS_FIXTURES=1` records the bytes again after an intended change.
 
 use std::fmt::Debug;
 use std::time::Duration;
@@ -22,13 +22,13 @@
     Fixtures::of(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// Expects that `value` is written as the recorded bytes and is read back from them.
+/// Asserts that `value` is encoded as the recorded bytes and decoded from them.
 fn assert_message<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
     let mut bytes = Vec::new();
     rmp_serde::encode::write(&mut bytes, value).unwrap();
     let recorded = fixtures().assert_hex(&format!("{name}.hex"), &bytes);
     let decoded: T = rmp_serde::from_slice(&recorded).unwrap();
-    assert_eq!(&decoded, value, "{name}: read as another value");
+    assert_eq!(&decoded, value, "{name}: decoded as another value");
 }
 
 fn models() -> Vec<LoadedModel> {
@@ -42,7 +42,7 @@
     ]
 }
 
-/// A record in which each field has a value of its own. `warm_at` is not sent.
+/// A record in which each field has a different value. `warm_at` is not sent.
 fn record() -> BackendRecord {
     let address = "10.1.2.3:8080".parse().unwrap();
     let mut record = BackendRecord::ready("i-0001", "huvo11a", address, "hakata-a", 64);
@@ -72,7 +72,7 @@
     }
 }
 
-/// An announcement as a peer reads it: `warm_at` is not sent.
+/// An announcement as a peer decodes it: `warm_at` is not sent.
 fn as_received(announcement: Option<Announcement>) -> Announcement {
     let mut announcement = announcement.expect("the registry announces a change");
     for record in &mut announcement.backends {
@@ -124,7 +124,7 @@
     assert_message("loaded-model", &models()[0]);
 }
 
-/// The presence inside a record is not public: the registry itself makes a record of each.
+/// The presence inside a record is not public, so the registry itself creates a record of each presence.
 #[test]
 fn a_backend_record_of_every_presence_keeps_its_form() {
     let start = Duration::from_secs(1);
@@ -174,7 +174,7 @@
     );
 }
 
-/// Two processes of different builds compare digests, so the sums themselves are part of the form.
+/// Processes of different builds compare digests, so the sums themselves are part of the serialized form.
 #[test]
 fn digests_keep_their_form_and_their_sums() {
     assert_message("digest", &Digest { sums: vec![0, 1, u64::MAX] });
@@ -190,7 +190,7 @@
         registry.heartbeat(start, &id, heartbeat).unwrap();
     }
     assert_message("digest-of-registry", &registry.digest());
-    // Nothing is heard for long enough that all are silent: the sums tell this apart.
+    // Without heartbeats for this long all backends are silent, which must change the sums.
     for step in 1..20 {
         registry.tick(start + Duration::from_millis(250) * step);
     }
@@ -201,7 +201,7 @@
     let written = serde_json::to_string_pretty(value).unwrap();
     let recorded = fixtures().assert_text(&format!("{name}.json"), &written);
     let decoded: Heartbeat = serde_json::from_str(&recorded).unwrap();
-    assert_eq!(&decoded, value, "{name}: read as another value");
+    assert_eq!(&decoded, value, "{name}: decoded as another value");
 }
 
 #[test]
--- a/crates/registry/tests/support/mod.rs
+++ b/crates/registry/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! Control-plane processes, backends and gateways over an unreliable broadcast, in virtual time.
+//! Simulation of control-plane processes, backends and gateways with an unreliable broadcast, in virtual
+//! time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,14 +13,14 @@
 const PROCESSES: usize = 4;
 const GATEWAYS: usize = 3;
 
-/// How often faults happen.
+/// The probabilities of faults.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultRates {
-    /// The fraction of announcements that is lost, repeated, or delayed past others.
+    /// The fractions of announcements that are lost, duplicated, or delayed and thus reordered.
     pub lost: f64,
     pub repeated: f64,
     pub delayed: f64,
-    /// The probability of each in one step.
+    /// The probabilities of a process restart, and of a backend crash or drain, per step.
     pub restart: f64,
     pub crash: f64,
     pub drain: f64,
@@ -54,7 +55,7 @@
     pub log: Vec<String>,
     fault_rates: FaultRates,
     in_flight: Vec<(usize, ProcessId, Announcement)>,
-    ids: u64,
+    last_id: u64,
 }
 
 impl Fleet {
@@ -69,7 +70,7 @@
             log: Vec::new(),
             fault_rates,
             in_flight: Vec::new(),
-            ids: 0,
+            last_id: 0,
         };
         for _ in 0..PROCESSES {
             let process = fleet.new_process();
@@ -85,14 +86,14 @@
     }
 
     fn new_process(&mut self) -> Process {
-        self.ids += 1;
+        self.last_id += 1;
         let settings = RegistrySettings::new(HEARTBEAT);
-        Process { registry: Registry::new(self.now, ProcessId(self.ids), settings) }
+        Process { registry: Registry::new(self.now, ProcessId(self.last_id), settings) }
     }
 
     fn start_backend(&mut self, port: u16) {
-        self.ids += 1;
-        let id = format!("i-{}", self.ids);
+        self.last_id += 1;
+        let id = format!("i-{}", self.last_id);
         let home = self.random.usize(..PROCESSES);
         let next_heartbeat = self.now;
         self.backends.push(Backend { id, port, seq: 0, draining: false, alive: true, home, next_heartbeat });
@@ -117,19 +118,19 @@
         }
     }
 
-    /// One step of time, with its faults.
+    /// Advances the time by one step and injects faults. Checks the invariant afterwards.
     pub fn step(&mut self) {
         self.now += Duration::from_millis(self.random.u64(50..250));
         self.inject_faults();
-        self.heartbeats();
-        self.ticks();
+        self.send_due_heartbeats();
+        self.tick_processes();
         self.deliver_in_flight();
         self.exchange_digest();
         self.update_gateways();
         self.check();
     }
 
-    /// Injects no more faults from now on.
+    /// Disables all faults.
     pub fn stop_faults(&mut self) {
         self.fault_rates =
             FaultRates { lost: 0.0, repeated: 0.0, delayed: 0.0, restart: 0.0, crash: 0.0, drain: 0.0 };
@@ -172,7 +173,7 @@
         }
     }
 
-    /// A backend says that it drains; once acknowledged and drained, it may sign off and end.
+    /// Starts to drain a backend; if it is already draining, it leaves and ends.
     fn drain(&mut self, index: usize) {
         if self.backends[index].draining {
             let (id, home) = (self.backends[index].id.clone(), self.backends[index].home);
@@ -191,7 +192,7 @@
         self.send_heartbeat(index, true);
     }
 
-    fn heartbeats(&mut self) {
+    fn send_due_heartbeats(&mut self) {
         for index in 0..self.backends.len() {
             if self.backends[index].alive && self.backends[index].next_heartbeat <= self.now {
                 self.backends[index].next_heartbeat = self.now + HEARTBEAT;
@@ -207,7 +208,7 @@
         self.backends[index].seq += 1;
         let backend = &self.backends[index];
         let (home, id) = (backend.home, backend.id.clone());
-        let heartbeat = heartbeat_of(backend.port, backend.seq, backend.draining);
+        let heartbeat = heartbeat_with(backend.port, backend.seq, backend.draining);
         let outcome = self.processes[home].registry.heartbeat(self.now, &id, heartbeat).unwrap();
         let Some(announcement) = outcome.announcement else {
             return;
@@ -215,7 +216,7 @@
         if !reliably {
             return self.broadcast(home, announcement);
         }
-        // Draining is acknowledged when all within reach have it.
+        // A drain is acknowledged once all reachable processes have it.
         for peer in (0..PROCESSES).filter(|peer| *peer != home) {
             self.deliver(peer, &announcement);
         }
@@ -255,7 +256,7 @@
         }
     }
 
-    fn ticks(&mut self) {
+    fn tick_processes(&mut self) {
         for process in 0..PROCESSES {
             if let Some(announcement) = self.processes[process].registry.tick(self.now) {
                 self.broadcast(process, announcement);
@@ -285,7 +286,7 @@
         }
     }
 
-    /// The invariant after each step: no gateway sends to a backend whose draining was acknowledged.
+    /// Checks the invariant that no gateway sends to a backend whose drain was acknowledged.
     fn check(&self) {
         for (index, gateway) in self.gateways.iter().enumerate() {
             for record in gateway.builder.table().iter() {
@@ -314,7 +315,7 @@
         processes.chain(gateways).collect()
     }
 
-    /// The states of the running backends as they are.
+    /// The actual states of the running backends.
     pub fn running_backends(&self) -> BTreeMap<String, BackendState> {
         let running = self.backends.iter().filter(|backend| backend.alive);
         running
@@ -330,7 +331,7 @@
     records.filter(|record| record.is_alive()).map(|record| (record.id.clone(), record.state)).collect()
 }
 
-pub fn heartbeat_of(port: u16, seq: u64, draining: bool) -> Heartbeat {
+pub fn heartbeat_with(port: u16, seq: u64, draining: bool) -> Heartbeat {
     Heartbeat {
         service: format!("service-{}", port % 2),
         address: format!("10.0.0.1:{port}").parse().unwrap(),
