--- a/crates/quota/src/allocator.rs
+++ b/crates/quota/src/allocator.rs
@@ -1,9 +1,10 @@
 //! Leases a total rate to holders: the owner of a tenant to homes, and a home to gateways.
 //!
 //! An allocator never leases more than its total. For each holder it counts all grants that the holder has
-//! not shown to be superseded. What is not leased accrues in a pool, out of which credits are paid on need.
+//! not reported to be superseded. The part that is not leased accrues in a pool, from which credits are paid
+//! on demand.
 //!
-//! The submodules: [`demands`] keeps what the holders ask for, [`shares`] divides the total into grants,
+//! Submodules: [`demands`] keeps the demands of the holders, [`shares`] divides the total into grants,
 //! [`pool`] pays credits, and [`takeover`] replaces a lost owner.
 
 mod demands;
@@ -23,7 +24,7 @@
 use crate::unmet_need::UnmetNeed;
 use crate::Now;
 
-/// How often ended leases are removed.
+/// The interval at which expired leases are removed.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(100);
 /// The maximum number of holders of one allocator.
 const MAX_HOLDERS: usize = 4_096;
@@ -43,7 +44,7 @@
     owner: OwnerIncarnation,
     total: Total,
     holders: BTreeMap<HolderId, HolderState>,
-    /// The sum of what the holders may still hold.
+    /// The sum of the upper bounds of what the holders may hold.
     reserved: Share,
     /// The sum of the rates that the holders should get, in units per second.
     desired_rate: f64,
@@ -56,7 +57,7 @@
 
 impl Allocator {
     /// Creates an allocator with nothing to lease yet. `token` is its fencing token: a higher one fences off
-    /// the former allocators of the same source.
+    /// the previous allocators of the same source.
     pub fn new(now: Now, source: GrantSource, token: u64) -> Self {
         Self {
             source,
@@ -80,34 +81,34 @@
         self
     }
 
-    /// Sets the total: at the owner. The part of it that nobody holds accrues in the pool from now on.
+    /// Sets the total, at the owner. The part of it that is not leased accrues in the pool from now on.
     pub fn set_total(&mut self, now: Now, total: Total) {
         self.accrue(now);
         self.expire_leases(now);
         self.total = total;
     }
 
-    /// Answers the report of a holder. The grant is of nothing while the total is not valid, or if there are
-    /// too many holders.
+    /// Answers the report of a holder. The grant is empty while the total is not valid, or if there are too
+    /// many holders.
     pub fn report(&mut self, now: Now, holder: HolderId, demand: Demand) -> Grant {
         self.accrue(now);
         self.expire_leases(now);
-        self.take_back(now, demand.returned);
+        self.reclaim(now, demand.returned);
         if !self.holders.contains_key(&holder) && self.holders.len() >= MAX_HOLDERS {
             return self.empty_grant();
         }
         self.raise_token_above(&demand);
         self.record_demand(now, holder, &demand);
-        let former = demand.held_lease.filter(|held| held.token < self.token);
-        self.grant(now, holder, former)
+        let previous = demand.held_lease.filter(|held| held.token < self.token);
+        self.grant(now, holder, previous)
     }
 
-    /// Grants to the holders whose need was not met when they reported, if it can be met by now. Returns the
+    /// Makes grants to the holders whose need was not met when they reported and can be met now. Returns the
     /// grants to send.
     ///
     /// The host calls this at each of its events. A holder that could not be paid yet is left out: after a
-    /// restart of the whole fleet, with all pools empty, each of them would else get a grant of nothing at each
-    /// event.
+    /// restart of the whole fleet, when all pools are empty, each such holder would otherwise get an empty
+    /// grant at each event.
     pub fn grant_pending(&mut self, now: Now) -> Vec<(HolderId, Grant)> {
         self.accrue(now);
         let mut grants = Vec::new();
@@ -135,7 +136,7 @@
         self.unmet_need.report_at(now)
     }
 
-    /// The demand to report to the allocator above. Resets what it returns of the pool's overflow.
+    /// The demand to report to the allocator above. Includes the overflow of the pool and resets it.
     pub fn demand(&mut self, now: Now) -> Demand {
         self.accrue(now);
         self.unmet_need.record_report(now);
@@ -150,8 +151,8 @@
         }
     }
 
-    /// Applies a grant of the allocator above as the total. `sent_at` is when the report that it answers was
-    /// sent. Returns false if the grant is not newer than the last one.
+    /// Applies a grant of the allocator above as the total. `sent_at` is the time at which the answered
+    /// report was sent. Returns false if the grant is not newer than the last one.
     pub fn apply_grant(&mut self, now: Now, sent_at: Now, grant: Grant) -> bool {
         self.accrue(now);
         if self.upstream.as_ref().is_some_and(|lease| grant.version() <= lease.grant.version()) {
@@ -186,7 +187,7 @@
         self.holders.len()
     }
 
-    /// Removes ended leases, and the holders that have no others.
+    /// Removes expired leases, and the holders without any other lease.
     fn expire_leases(&mut self, now: Now) {
         if now.saturating_sub(self.expired_at) < EXPIRY_INTERVAL {
             return;
--- a/crates/quota/src/allocator/demands.rs
+++ b/crates/quota/src/allocator/demands.rs
@@ -1,4 +1,4 @@
-//! What the holders ask for, and the sums over all of them.
+//! The demands of the holders, and the sums over all of them.
 
 use std::time::Duration;
 
@@ -9,22 +9,22 @@
 use crate::share::Share;
 use crate::{Now, LEASE_DURATION};
 
-/// How long a need that was not met counts after its report.
+/// How long an unmet need counts after its report.
 const NEED_LIFETIME: Duration = Duration::from_millis(500);
 
-/// A holder, as of its newest report.
+/// The state of a holder as of its newest report.
 #[derive(Clone, Debug, Default)]
 pub(super) struct HolderState {
-    /// Its demand, in units per second.
+    /// The demand, in units per second.
     pub demand: f64,
-    /// The units it needs for waiting requests, less the credits paid since.
+    /// The units needed for waiting requests, minus the credits paid since.
     pub unmet: f64,
     pub reported_at: Now,
-    /// The level of its bucket, in units, with the credits paid since.
+    /// The level of its bucket, in units, plus the credits paid since.
     pub level: f64,
-    /// What it may still hold.
+    /// The leases that it may still hold.
     pub reservation: Reservation,
-    /// The part of the allocator's reserved sum that is this holder's.
+    /// The contribution of this holder to the reserved sum of the allocator.
     pub reserved: Share,
     /// Whether it has reported to this allocator.
     has_reported: bool,
@@ -48,7 +48,7 @@
         state.reported_at = now;
         state.level = if demand.level.is_finite() { demand.level } else { 0.0 };
         if !state.has_reported {
-            // What a takeover reserved for it was a guess; the report says what it holds.
+            // A takeover reserved an estimated share; the report contains the actual lease.
             state.has_reported = true;
             state.reservation = Reservation::default();
         }
@@ -63,29 +63,29 @@
         self.update_reserved(holder);
     }
 
-    /// What holders need for requests that wait, beyond what the pool has, in units.
+    /// The units that holders need for waiting requests, beyond the level of the pool.
     pub(super) fn unmet(&self, now: Now) -> f64 {
         let recent = self.holders.values().filter(|state| state.has_recent_need(now));
         let unmet: f64 = recent.map(|state| state.unmet).sum();
         (unmet - self.pool.level().max(0.0)).max(0.0)
     }
 
-    /// The holders that need units for requests that wait.
+    /// The holders that need units for waiting requests.
     pub(super) fn holders_with_unmet_need(&self, now: Now) -> Vec<HolderId> {
         let holders = self.holders.iter();
         let waiting = holders.filter(|(_, state)| state.unmet > 0.0 && state.has_recent_need(now));
         waiting.map(|(holder, _)| *holder).collect()
     }
 
-    /// Updates the reserved sum after a change of one holder's reservation.
+    /// Updates the reserved sum after the reservation of a holder has changed.
     pub(super) fn update_reserved(&mut self, holder: HolderId) {
         if let Some(state) = self.holders.get_mut(&holder) {
-            let former = std::mem::replace(&mut state.reserved, state.reservation.upper_bound());
-            self.reserved = self.reserved - former + state.reserved;
+            let previous = std::mem::replace(&mut state.reserved, state.reservation.upper_bound());
+            self.reserved = self.reserved - previous + state.reserved;
         }
     }
 
-    /// Computes the sums over all holders anew, which also removes accumulated rounding errors.
+    /// Recomputes the sums over all holders, which also removes accumulated rounding errors.
     pub(super) fn recompute_sums(&mut self) {
         let mut reserved = Share::default();
         let mut desired_rate = 0.0;
@@ -99,7 +99,7 @@
     }
 }
 
-/// A number that another process sent, as a finite number of at least 0.
+/// Converts a number received from another process to a finite number of at least 0.
 pub(super) fn sanitized(number: f64) -> f64 {
     if number.is_finite() {
         number.max(0.0)
--- a/crates/quota/src/allocator/pool.rs
+++ b/crates/quota/src/allocator/pool.rs
@@ -8,41 +8,42 @@
 
 /// While the pool is fuller than this fraction of its depth, it tops up the holders' buckets.
 const TOP_UP_THRESHOLD: f64 = 0.5;
-/// The owner pays a need that has waited once its pool has this fraction of it. Less would be a message for
-/// nothing.
+/// The owner pays a pending need in part once its pool covers at least this fraction of it. A smaller payment
+/// is not worth a message.
 const MIN_PAID_FRACTION: f64 = 0.05;
 
 impl Allocator {
-    /// Whether the pool has enough to pay a holder's need: all of it, or at the owner a part that is worth a
+    /// Whether the pool can pay the need of a holder: all of it, or at the owner a part that is worth a
     /// grant.
     pub(super) fn can_pay(&self, holder: HolderId) -> bool {
         let Some(state) = self.holders.get(&holder) else {
             return false;
         };
         let level = self.pool.level();
-        let required = if self.pays_in_part() { state.unmet * MIN_PAID_FRACTION } else { state.unmet };
+        let required = if self.pays_partially() { state.unmet * MIN_PAID_FRACTION } else { state.unmet };
         level > 0.0 && level >= required
     }
 
-    /// Whether a need is paid in part if there isn't enough for all of it.
-    fn pays_in_part(&self) -> bool {
+    /// Whether a need is paid in part if the pool does not cover all of it.
+    fn pays_partially(&self) -> bool {
         self.source == GrantSource::OWNER
     }
 
-    /// Pays a holder out of the pool: its need first, then a top-up of its bucket. Returns the units paid.
+    /// Pays a credit from the pool: first for the need of the holder, then to top up its bucket. Returns the
+    /// units paid.
     ///
-    /// A home pays a need in full or not at all, since a part of it admits no request; it asks the owner for
-    /// the rest. The owner pays what there is, which the home collects.
+    /// A home pays a need in full or not at all, since a part of it would admit no request; it requests the
+    /// rest from the owner. The owner pays the available part, which the home accumulates.
     pub(super) fn pay_credit(&mut self, now: Now, holder: HolderId, share: &Share) -> f64 {
         let depth = self.pool_depth();
         let count = self.holder_count();
-        let pays_in_part = self.pays_in_part();
+        let pays_partially = self.pays_partially();
         let Some(state) = self.holders.get_mut(&holder) else {
             return 0.0;
         };
         let available = self.pool.level().max(0.0);
         let mut credit = 0.0;
-        if state.has_recent_need(now) && (pays_in_part || state.unmet <= available) {
+        if state.has_recent_need(now) && (pays_partially || state.unmet <= available) {
             credit = state.unmet.min(available);
             state.unmet -= credit;
         }
@@ -65,8 +66,8 @@
         self.pool.fill(now, 0.0, depth);
     }
 
-    /// Takes back what has overflowed a holder's bucket, at most a lease's worth of the total rate.
-    pub(super) fn take_back(&mut self, now: Now, returned: f64) {
+    /// Returns the overflow of a holder's bucket to the pool, at most the total rate over one lease duration.
+    pub(super) fn reclaim(&mut self, now: Now, returned: f64) {
         if !self.has_valid_total(now) {
             return;
         }
@@ -76,7 +77,7 @@
         self.pool.add_overflow((returned - capacity).max(0.0));
     }
 
-    /// The depth of the pool, in units: what is not leased as the depth of buckets.
+    /// The depth of the pool, in units: the part of the total burst that is not reserved for holders.
     fn pool_depth(&self) -> f64 {
         (self.total.burst - self.reserved.burst).max(0.0)
     }
--- a/crates/quota/src/allocator/shares.rs
+++ b/crates/quota/src/allocator/shares.rs
@@ -7,20 +7,21 @@
 use crate::share::Share;
 use crate::{Now, LEASE_DURATION};
 
-/// A holder is leased its demand times this.
+/// The factor by which a leased rate exceeds the demand of the holder.
 pub(super) const HEADROOM: f64 = 1.15;
-/// The fraction of the spare rate that is leased evenly, ahead of demand. The rest accrues in the pool.
+/// The fraction of the spare rate that is leased evenly, ahead of demand. The rest accrues in the
+/// pool.
 const LEASED_SPARE_FRACTION: f64 = 0.3;
-/// The fraction of the sum of all depths that is leased. The rest is the depth of the pool.
+/// The fraction of the total burst that is leased as bucket depth. The rest is the depth of the pool.
 pub(super) const LEASED_BURST_FRACTION: f64 = 0.4;
 
 impl Allocator {
-    /// Makes a grant, and reserves it. `former` is a lease of a former owner that the holder has.
-    pub(super) fn grant(&mut self, now: Now, holder: HolderId, former: Option<HeldLease>) -> Grant {
+    /// Makes a grant and reserves it. `previous` is the lease of a previous owner that the holder still has.
+    pub(super) fn grant(&mut self, now: Now, holder: HolderId, previous: Option<HeldLease>) -> Grant {
         if !self.has_valid_total(now) {
             return self.empty_grant();
         }
-        let share = self.share_for(holder, former);
+        let share = self.share_for(holder, previous);
         let credit = self.pay_credit(now, holder, &share);
         let valid_for = LEASE_DURATION.min(self.total.valid_until - now);
         let grant = self.next_grant(share, credit, valid_for);
@@ -31,7 +32,7 @@
         grant
     }
 
-    /// A grant of nothing, which ends at once.
+    /// An empty grant, which expires at once.
     pub(super) fn empty_grant(&mut self) -> Grant {
         self.next_grant(Share::default(), 0.0, Duration::ZERO)
     }
@@ -51,9 +52,9 @@
         }
     }
 
-    /// The share of a holder: its demand and a part of the spare rate, within what is not reserved. It keeps
-    /// at least the rate that it still has of a former owner.
-    fn share_for(&self, holder: HolderId, former: Option<HeldLease>) -> Share {
+    /// The share of a holder: its demand and a part of the spare rate, limited to what is not reserved for
+    /// others. The rate is at least that of its lease of a previous owner.
+    fn share_for(&self, holder: HolderId, previous: Option<HeldLease>) -> Share {
         let Some(state) = self.holders.get(&holder) else {
             return Share::default();
         };
@@ -68,14 +69,14 @@
         let rate = desired.rate.min(free(self.total.rate, self.reserved.rate, own.rate));
         let leased_burst = self.total.burst * LEASED_BURST_FRACTION;
         Share {
-            rate: rate.max(former.map_or(0.0, |held| held.rate.min(self.total.rate))),
+            rate: rate.max(previous.map_or(0.0, |held| held.rate.min(self.total.rate))),
             burst: desired.burst.min(free(leased_burst, self.reserved.burst, own.burst)),
             debt: desired.debt.min(free(self.total.debt, self.reserved.debt, own.debt)),
         }
     }
 
-    /// The rate for a holder of this demand: with headroom and a part of the spare rate, or in proportion if
-    /// all demands exceed the total.
+    /// The rate for a holder with this demand: with headroom and a part of the spare rate, or proportional to
+    /// the demand if the desired rates exceed the total.
     fn desired_rate_of(&self, demand: f64) -> f64 {
         let desired = demand * HEADROOM;
         let spare = self.total.rate - self.desired_rate;
@@ -86,7 +87,7 @@
         }
     }
 
-    /// The fraction of depth and debt for a holder of this demand: half evenly, half by demand.
+    /// The fraction of depth and debt for a holder with this demand: half divided evenly, half by demand.
     fn weight_of(&self, demand: f64) -> f64 {
         let count = self.holder_count();
         if self.desired_rate > 0.0 {
--- a/crates/quota/src/allocator/takeover.rs
+++ b/crates/quota/src/allocator/takeover.rs
@@ -1,4 +1,4 @@
-//! The takeover from a lost owner, and from an earlier start of the same owner.
+//! Takeover from a lost owner, and from an earlier start of the same owner.
 
 use super::shares::LEASED_BURST_FRACTION;
 use super::{Allocator, MAX_HOLDERS};
@@ -6,13 +6,13 @@
 use crate::share::Share;
 use crate::{Now, LEASE_DURATION};
 
-/// The host gives the owner of each epoch a fencing token that is higher by this much. The tokens in between
-/// are for restarts of that owner within the epoch.
+/// The distance between the fencing tokens that the host assigns to the owners of consecutive epochs. The
+/// tokens in between are for restarts of an owner within its epoch.
 pub const TOKENS_PER_EPOCH: u64 = 1 << 20;
 
 impl Allocator {
-    /// Takes over from a lost owner. These holders may still have leases of it, so an even share of the total
-    /// is reserved for each until it reports, or until such a lease must have ended.
+    /// Takes over from a lost owner. The given holders may still have leases of it, so an even share of the
+    /// total is reserved for each until it reports, or until such a lease must have expired.
     pub fn rebuild(&mut self, now: Now, holders: impl IntoIterator<Item = HolderId>) {
         self.accrue(now);
         let unknown: Vec<HolderId> = holders
@@ -33,9 +33,8 @@
         }
     }
 
-    /// Raises the token above one that a holder shows and that this owner has not granted under. Such a lease
-    /// is from an earlier start of this owner in the same epoch; with a lower token, new grants would be
-    /// refused.
+    /// Raises the token above that of a reported lease which this owner has not granted. Such a lease is from
+    /// an earlier start of this owner in the same epoch; holders would refuse new grants with a lower token.
     pub(super) fn raise_token_above(&mut self, demand: &Demand) {
         let Some(held) = demand.held_lease.filter(|_| self.source == GrantSource::OWNER) else {
             return;
--- a/crates/quota/src/bin_ring.rs
+++ b/crates/quota/src/bin_ring.rs
@@ -1,4 +1,4 @@
-//! Counts by interval of time, of the newest intervals only.
+//! A ring buffer of values by time interval.
 
 /// A value for each of the newest `N` intervals ("bins"), which are numbered from the start of the clock.
 #[derive(Clone, Debug)]
@@ -15,7 +15,8 @@
 }
 
 impl<T: Copy + Default, const N: usize> BinRing<T, N> {
-    /// Moves on to the bin of that number, and clears the bins that it passes. An earlier number changes nothing.
+    /// Advances to the bin with this number and clears the bins in between. An earlier number changes
+    /// nothing.
     pub fn advance_to(&mut self, bin: u64) {
         if bin >= self.newest + N as u64 {
             *self = Self { newest: bin, ..Self::default() };
@@ -26,12 +27,12 @@
         }
     }
 
-    /// The value of the newest bin.
+    /// Mutable access to the value of the newest bin.
     pub fn newest_mut(&mut self) -> &mut T {
         &mut self.bins[self.newest as usize % N]
     }
 
-    /// The values of this many of the newest bins, at most `N`; fewer if the clock has not reached as many.
+    /// The values of the `count` newest bins, at most `N`; fewer if the clock has not reached that many bins.
     pub fn newest(&self, count: usize) -> impl Iterator<Item = &T> {
         let first = self.newest.saturating_sub(count as u64 - 1);
         (first..=self.newest).map(|bin| &self.bins[bin as usize % N])
--- a/crates/quota/src/bounds.rs
+++ b/crates/quota/src/bounds.rs
@@ -1,4 +1,4 @@
-//! The limit of a tenant, and how the margin above it is divided.
+//! The limit of a tenant, and the division of the margin above it.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
 
 /// The fraction of the margin that is leased as additional rate.
 const RATE_FRACTION: f64 = 0.10;
-/// The fraction of the margin that deepens buckets.
+/// The fraction of the margin that is added to the depth of buckets.
 const BURST_FRACTION: f64 = 0.25;
-/// The fraction of the margin by which buckets may go into debt. It counts twice, since a process that
-/// restarts has lost its debt.
+/// The fraction of the margin by which buckets may go into debt. It counts twice, since a process loses
+/// its debt when it restarts.
 const DEBT_FRACTION: f64 = 0.15;
 /// The fraction of the margin for gateways without a lease. The rest covers leases of a lost owner.
 const FLOOR_FRACTION: f64 = 0.10;
@@ -21,7 +21,7 @@
     pub window: Duration,
     /// The fraction of rate x window + burst by which the sum may exceed it.
     pub over: f64,
-    /// By how much the sum may exceed it besides, in units.
+    /// The absolute amount by which the sum may exceed it in addition, in units.
     pub slack: f64,
 }
 
@@ -30,11 +30,11 @@
 pub struct QuotaLimit {
     /// Units per second.
     pub rate: f64,
-    /// Units besides, in any window.
+    /// Additional units in any window.
     pub burst: f64,
 }
 
-/// What an allocator may lease.
+/// The total that an allocator may lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Total {
     /// Units per second.
@@ -53,7 +53,7 @@
         self.limit_per_window(limit) + self.margin(limit)
     }
 
-    /// What the owner may lease until `valid_until`.
+    /// The total that the owner may lease until `valid_until`.
     pub fn total(&self, limit: QuotaLimit, valid_until: Now) -> Total {
         let margin = self.margin(limit);
         Total {
--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -1,4 +1,4 @@
-//! A token bucket: filled at a rate up to a depth, and paid credits besides.
+//! A token bucket, filled at a rate up to a depth. Credits may raise it above the depth.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 /// How long a bucket may stay above its depth after a credit.
 const SURPLUS_DURATION: Duration = Duration::from_secs(1);
 
-/// A token bucket. What overflows is counted, to be returned to the source of the lease.
+/// A token bucket. Overflow is counted, to be returned to the source of the lease.
 #[derive(Clone, Debug)]
 pub(crate) struct Bucket {
     level: f64,
@@ -17,7 +17,7 @@
 }
 
 impl Bucket {
-    /// An empty bucket.
+    /// Creates an empty bucket.
     pub fn new(now: Now) -> Self {
         Self { level: 0.0, overflow: 0.0, filled_at: now, credited_at: now }
     }
@@ -27,12 +27,12 @@
         self.level
     }
 
-    /// The time up to which it has been filled.
+    /// The time up to which the bucket has been filled.
     pub fn filled_at(&self) -> Now {
         self.filled_at
     }
 
-    /// Fills it up to the time `until`, at `rate` units per second, to the level `depth` at most.
+    /// Fills the bucket up to the time `until`, at `rate` units per second, but not above the level `depth`.
     pub fn fill(&mut self, until: Now, rate: f64, depth: f64) {
         let elapsed = until.saturating_sub(self.filled_at).as_secs_f64();
         self.filled_at = self.filled_at.max(until);
@@ -46,12 +46,12 @@
         }
     }
 
-    /// Lowers the level to `depth` at most; what was above is lost.
+    /// Limits the level to `depth`. The excess is lost.
     pub fn truncate(&mut self, depth: f64) {
         self.level = self.level.min(depth);
     }
 
-    /// Adds `amount` units, even above its depth.
+    /// Adds `amount` units, even above the depth.
     pub fn pay(&mut self, now: Now, amount: f64) {
         if amount > 0.0 {
             self.level += amount;
@@ -64,7 +64,7 @@
         self.level -= amount;
     }
 
-    /// Counts units that were not paid into it as overflow.
+    /// Counts `amount` units that were not paid into the bucket as overflow.
     pub fn add_overflow(&mut self, amount: f64) {
         self.overflow += amount;
     }
--- a/crates/quota/src/holder.rs
+++ b/crates/quota/src/holder.rs
@@ -9,11 +9,11 @@
 use crate::unmet_need::UnmetNeed;
 use crate::Now;
 
-/// The maximum number of sources whose leases run at once.
+/// The maximum number of sources with simultaneously valid leases.
 const MAX_LEASES: usize = 4;
 /// The fraction of an amount that may be missing because of rounding.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
-/// The bucket of a gateway without a lease is as deep as what its floor rate fills in this time.
+/// The depth of the bucket of a gateway without a lease, as the time in which the floor rate fills it.
 const FLOOR_FILL_TIME: Duration = Duration::from_secs(4);
 
 #[derive(Clone, Copy, Debug)]
@@ -22,7 +22,7 @@
     until: Now,
 }
 
-/// The sum of the leases that run, or the floor.
+/// The sum of the valid leases, or the floor.
 #[derive(Clone, Copy, Debug, Default)]
 struct Allowance {
     rate: f64,
@@ -30,7 +30,7 @@
     debt: f64,
 }
 
-/// Spends the leased share of one tenant's rate.
+/// The leased share of the rate of one tenant at a gateway.
 #[derive(Clone, Debug)]
 pub struct Holder {
     leases: Vec<Lease>,
@@ -59,8 +59,8 @@
         self.floor_rate = bounds.floor_rate(limit, gateways);
     }
 
-    /// Takes `amount` units for a new request; returns whether it is admitted. If it is not, the need is
-    /// reported ahead of time.
+    /// Takes `amount` units for a new request. Returns whether the request is admitted; if it is not, its
+    /// need is reported ahead of the next regular report.
     pub fn take(&mut self, now: Now, amount: f64) -> bool {
         self.estimate.add(now, amount);
         let taken = self.try_take(now, amount);
@@ -71,8 +71,8 @@
         taken
     }
 
-    /// Takes `amount` units for a request that [`take`](Self::take) has not admitted and that waits since;
-    /// returns whether it is admitted.
+    /// Takes `amount` units for a request that [`take`](Self::take) did not admit and that has been waiting
+    /// since. Returns whether it is admitted.
     pub fn retry_take(&mut self, now: Now, amount: f64) -> bool {
         let taken = self.try_take(now, amount);
         if !taken {
@@ -82,7 +82,7 @@
         taken
     }
 
-    /// Takes `amount` units if they are available, with debt.
+    /// Takes `amount` units if they are available, including the allowed debt.
     fn try_take(&mut self, now: Now, amount: f64) -> bool {
         self.fill_bucket(now);
         let available = self.bucket.level() + self.allowance(now).debt;
@@ -93,12 +93,12 @@
         enough
     }
 
-    /// The units to ask for. Only half of the debt is counted on, since the next grant may allow less.
+    /// The units to request. Only half of the debt counts as available, since the next grant may allow less.
     fn need_for(&self, now: Now, amount: f64) -> f64 {
         amount - self.bucket.level() - self.allowance(now).debt / 2.0
     }
 
-    /// How long until `amount` units are available if no credit arrives; `None` if the rate is 0.
+    /// The time until `amount` units are available if no credit arrives; `None` if the rate is 0.
     pub fn wait_for(&mut self, now: Now, amount: f64) -> Option<Duration> {
         self.fill_bucket(now);
         let allowance = self.allowance(now);
@@ -123,12 +123,12 @@
         self.unmet_need.report_at(now)
     }
 
-    /// Whether to send regular reports: there were requests in the last seconds, or a lease runs.
+    /// Whether to send regular reports: there were requests in the last seconds, or a lease is valid.
     pub fn is_active(&mut self, now: Now) -> bool {
         self.estimate.rate(now) > 0.0 || self.leases.iter().any(|lease| lease.until > now)
     }
 
-    /// The demand to report to `source`. Resets what it returns of the bucket's overflow.
+    /// The demand to report to `source`. Includes the overflow of the bucket and resets it.
     pub fn demand(&mut self, now: Now, source: GrantSource) -> Demand {
         self.fill_bucket(now);
         self.unmet_need.record_report(now);
@@ -143,9 +143,9 @@
         }
     }
 
-    /// Applies a grant; the report that it answers was sent at `sent_at`. Returns false, and changes nothing but
-    /// to remove ended leases, if the grant is not newer than that of its source, or if it descends from an
-    /// owner before that of another lease.
+    /// Applies a grant that answers the report sent at `sent_at`. Returns false, and only removes expired
+    /// leases, if the grant is not newer than the last one of its source, or if it descends from an earlier
+    /// owner than another lease.
     pub fn apply_grant(&mut self, now: Now, sent_at: Now, grant: Grant) -> bool {
         self.fill_bucket(now);
         let until = sent_at + grant.valid_for;
@@ -167,12 +167,12 @@
         true
     }
 
-    /// The rate at `now`, in units per second: the sum of the leases that run, or the floor.
+    /// The rate at `now`, in units per second: the sum of the valid leases, or the floor.
     pub fn rate(&self, now: Now) -> f64 {
         self.allowance(now).rate
     }
 
-    /// Whether the grant descends from an owner before that of a lease which runs.
+    /// Whether the grant descends from an earlier owner than a valid lease.
     fn is_fenced(&self, now: Now, grant: &Grant) -> bool {
         let running = self.leases.iter().filter(|lease| lease.until > now);
         running.into_iter().any(|lease| lease.grant.owner.token > grant.owner.token)
@@ -192,7 +192,7 @@
         sum
     }
 
-    /// Fills the bucket up to `now`, at the lower rate from each time on at which a lease ends.
+    /// Fills the bucket up to `now`. From the time at which a lease ends, its rate no longer counts.
     fn fill_bucket(&mut self, now: Now) {
         while self.bucket.filled_at() < now {
             let from = self.bucket.filled_at();
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,7 +1,7 @@
 //! Rates leased from one owner to many holders: tenants' quotas and retry budgets. No I/O.
 //!
-//! The owner of a tenant leases its rate, through an [`Allocator`], to homes. A home leases what it got,
-//! through an [`Allocator`] of its own, to gateways. A gateway spends it through a [`Holder`], which is a
+//! The owner of a tenant leases its rate to homes through an [`Allocator`]. A home leases its share to
+//! gateways through an [`Allocator`] of its own. A gateway spends its share through a [`Holder`], which is a
 //! token bucket. [`QuotaBounds`] limits the sum over all gateways. A [`RetryBudget`] is local to a gateway.
 //!
 //! Rates are in units per second and amounts in units: tokens or requests, whichever a limit counts.
@@ -24,8 +24,8 @@
 pub use message::{Demand, Grant, GrantSource, HeldLease, HolderId, OwnerIncarnation};
 pub use retry_budget::{RetryBudget, RetryBudgetSettings};
 
-/// The time since the start of the process, by its monotonic clock.
+/// The time since the start of the process, on its monotonic clock.
 pub type Now = std::time::Duration;
 
-/// How long a lease runs after its last renewal.
+/// How long a lease is valid after its last renewal.
 pub const LEASE_DURATION: std::time::Duration = std::time::Duration::from_secs(5);
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -17,7 +17,7 @@
 pub struct GrantSource(pub u64);
 
 impl GrantSource {
-    /// The owner of the tenant, whichever process it is; owners are told apart by their fencing tokens.
+    /// The owner of the tenant, whichever process it is. Owners are distinguished by their fencing tokens.
     pub const OWNER: Self = Self(0);
 
     /// A home: one incarnation of a control-plane process.
@@ -26,8 +26,8 @@
     }
 }
 
-/// The incarnation of the owner that a lease descends from. An owner does not know what a former one has
-/// leased, so a holder that takes a lease of a later owner ends its leases of the former one.
+/// The incarnation of the owner that a lease descends from. An owner does not know which leases the previous
+/// one has granted, so a holder that accepts a lease of a later owner drops its leases of the previous one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OwnerIncarnation {
     /// The owner's fencing token.
@@ -36,23 +36,23 @@
     pub nonce: u64,
 }
 
-/// The report of a holder: what it asks for.
+/// The report of a holder: its demand.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
     /// The rate of its requests, in units per second.
     pub rate: f64,
-    /// What it needs besides for requests that wait, in units.
+    /// The additional need for waiting requests, in units.
     pub need: f64,
     /// The level of its bucket, in units; negative if it is in debt.
     pub level: f64,
-    /// What has overflowed its bucket since its last report and is returned, in units.
+    /// The overflow of its bucket since its last report, which it returns, in units.
     pub returned: f64,
-    /// The newest lease that it has of the source it reports to.
+    /// The newest lease that it has from the source to which it reports.
     #[serde(rename = "claim")]
     pub held_lease: Option<HeldLease>,
 }
 
-/// A lease that a holder reports to have.
+/// A lease as reported by its holder.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeldLease {
     /// The fencing token of its grant.
@@ -65,13 +65,13 @@
     pub burst: f64,
     /// How far its bucket may go below zero, in units.
     pub debt: f64,
-    /// How much longer it runs.
+    /// The remaining time for which it is valid.
     #[serde(rename = "left")]
     pub remaining: Duration,
 }
 
 impl HeldLease {
-    /// The lease of `grant`, which runs for `remaining`.
+    /// The lease of `grant`, which is valid for `remaining`.
     pub(crate) fn new(grant: &Grant, remaining: Duration) -> Self {
         let Grant { token, number, rate, burst, debt, .. } = *grant;
         Self { token, number, rate, burst, debt, remaining }
@@ -86,15 +86,15 @@
 /// A lease of a share of a total.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Grant {
-    /// The source that grants.
+    /// The source of the grant.
     pub source: GrantSource,
-    /// The fencing token of the allocator. A holder refuses a grant with a lower one than it has of this
-    /// source.
+    /// The fencing token of the allocator. A holder refuses a grant with a lower token than its
+    /// lease of this source has.
     pub token: u64,
     /// The owner that the lease descends from.
     #[serde(rename = "lineage")]
     pub owner: OwnerIncarnation,
-    /// The number of this grant; rises with each grant under one token.
+    /// The number of this grant, which increases with each grant under one token.
     pub number: u64,
     /// The leased rate, in units per second.
     pub rate: f64,
@@ -104,7 +104,7 @@
     pub debt: f64,
     /// Units to pay into the bucket once, when this grant arrives.
     pub credit: f64,
-    /// How long the lease runs, from the time at which the report that it answers was sent.
+    /// How long the lease is valid, from the time at which the answered report was sent.
     pub valid_for: Duration,
 }
 
--- a/crates/quota/src/reservation.rs
+++ b/crates/quota/src/reservation.rs
@@ -1,4 +1,4 @@
-//! What one holder may still hold, by the grants sent to it.
+//! The upper bound of what one holder may hold, from the grants sent to it.
 
 use crate::message::{Grant, HeldLease};
 use crate::share::Share;
@@ -14,7 +14,7 @@
     until: Now,
 }
 
-/// What one holder may still hold: any of the grants that it has not shown to be superseded.
+/// The grants that one holder may still hold: all that it has not reported to be superseded.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Reservation {
     /// Oldest first.
@@ -22,7 +22,7 @@
 }
 
 impl Reservation {
-    /// Adds a share that the holder may have by a grant that is not known here.
+    /// Adds a share that the holder may have from a grant of another allocator.
     pub fn add_unknown(&mut self, share: Share, until: Now) {
         self.push(OutstandingGrant { number: 0, share, until });
     }
@@ -32,23 +32,24 @@
         self.push(OutstandingGrant { number: grant.number, share: grant.share(), until });
     }
 
-    /// Removes the grants before one that the holder has shown under the current token.
+    /// Removes the grants older than the lease that the holder has reported under the current token.
     pub fn confirm(&mut self, held: &HeldLease) {
         self.outstanding.retain(|grant| grant.number >= held.number);
     }
 
-    /// Removes the grants that have ended; returns whether none is left.
+    /// Removes the expired grants; returns whether none is left.
     pub fn expire(&mut self, now: Now) -> bool {
         self.outstanding.retain(|grant| grant.until > now);
         self.outstanding.is_empty()
     }
 
-    /// The most that the holder may have, whichever of its grants have arrived.
+    /// The maximum that the holder may have, whichever of its grants have arrived.
     pub fn upper_bound(&self) -> Share {
         self.outstanding.iter().fold(Share::default(), |bound, grant| bound.max(grant.share))
     }
 
-    /// Adds a grant; beyond the maximum number, the oldest is merged into the next so that it still counts.
+    /// Adds a grant. Beyond the maximum number, the oldest grant is merged into the next, so that it still
+    /// counts.
     fn push(&mut self, grant: OutstandingGrant) {
         if self.outstanding.len() >= MAX_OUTSTANDING {
             let oldest = self.outstanding.remove(0);
--- a/crates/quota/src/retry_budget.rs
+++ b/crates/quota/src/retry_budget.rs
@@ -1,8 +1,8 @@
-//! The budget of retries: requests that are sent to a second backend.
+//! The budget for retries, which send a request to a second backend.
 //!
 //! In any window a gateway retries at most a fixed fraction of its own requests in that window, plus a share
-//! of the fleet's slack. It decides by itself, so the sum over all gateways keeps the limit during a network
-//! partition too.
+//! of the slack of the fleet. It decides locally, so the sum over all gateways stays within the limit during
+//! a network partition too.
 
 use std::time::Duration;
 
@@ -24,13 +24,13 @@
 pub struct RetryBudgetSettings {
     /// Retries allowed per request.
     pub ratio: f64,
-    /// Retries allowed besides in each window, over all gateways.
+    /// Additional retries allowed in each window, over all gateways.
     pub slack: f64,
     /// The window over which requests and retries are counted.
     pub window: Duration,
 }
 
-/// What is counted in one bin.
+/// The requests and retries counted in one bin.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
     requests: u32,
@@ -46,7 +46,7 @@
 }
 
 impl RetryBudget {
-    /// Creates the budget of one of `gateways` gateways.
+    /// Creates the budget for one of `gateways` gateways.
     pub fn new(settings: RetryBudgetSettings, gateways: u32) -> Self {
         let gateways = gateways.max(1);
         Self { settings, gateways, counts: BinRing::default() }
@@ -64,7 +64,7 @@
         counts.requests = counts.requests.saturating_add(1);
     }
 
-    /// Takes one retry out of the budget; returns whether there was one.
+    /// Takes one retry from the budget; returns whether one was available.
     pub fn take(&mut self, now: Now) -> bool {
         if self.available(now) < 1.0 {
             return false;
@@ -85,7 +85,7 @@
         f64::from(requests) * self.settings.ratio * RATIO_FRACTION + share - f64::from(retries)
     }
 
-    /// Moves on to the bin of `now`.
+    /// Advances to the bin of `now`.
     fn advance(&mut self, now: Now) {
         let width = (self.settings.window.as_nanos() / (BINS as u128 - 1)).max(1);
         self.counts.advance_to(u64::try_from(now.as_nanos() / width).unwrap_or(u64::MAX));
--- a/crates/quota/src/share.rs
+++ b/crates/quota/src/share.rs
@@ -1,4 +1,4 @@
-//! A share of a total: what one lease is of.
+//! The share of a total that one lease covers.
 
 use std::ops::{Add, Sub};
 
@@ -14,7 +14,7 @@
 }
 
 impl Share {
-    /// The greater of both in each field.
+    /// The maximum of each field.
     pub fn max(self, other: Self) -> Self {
         Self {
             rate: self.rate.max(other.rate),
--- a/crates/quota/src/unmet_need.rs
+++ b/crates/quota/src/unmet_need.rs
@@ -1,12 +1,12 @@
-//! The need that was not met, and when it justifies a report ahead of the regular one.
+//! Unmet need, and the time at which it justifies a report ahead of the next regular one.
 
 use std::time::Duration;
 
 use crate::Now;
 
-/// The minimum interval between two reports because of a need.
+/// The minimum interval between two reports caused by a need.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(15);
-/// The minimum interval after a report that brought no credit.
+/// The minimum interval after a report that was not followed by a credit.
 const MIN_INTERVAL_WITHOUT_CREDIT: Duration = Duration::from_millis(100);
 /// How long a need counts after it was last recorded.
 const NEED_LIFETIME: Duration = Duration::from_millis(300);
@@ -17,12 +17,12 @@
     amount: f64,
     recorded_at: Now,
     reported_at: Option<Now>,
-    /// Whether no credit has come since the last report of a need.
+    /// Whether no credit has arrived since the last report of a need.
     awaits_credit: bool,
 }
 
 impl UnmetNeed {
-    /// No need.
+    /// Creates an instance without a need.
     pub fn new(now: Now) -> Self {
         Self { amount: 0.0, recorded_at: now, reported_at: None, awaits_credit: false }
     }
@@ -33,13 +33,13 @@
         self.recorded_at = now;
     }
 
-    /// Records that at least `amount` units are needed in all.
+    /// Records that at least `amount` units are needed in total.
     pub fn raise_to(&mut self, now: Now, amount: f64) {
         self.amount = self.amount(now).max(amount);
         self.recorded_at = now;
     }
 
-    /// The needed units; 0 once the need was recorded too long ago.
+    /// The needed units; 0 if the need was recorded too long ago.
     pub fn amount(&self, now: Now) -> f64 {
         if now.saturating_sub(self.recorded_at) < NEED_LIFETIME {
             self.amount
@@ -62,7 +62,7 @@
         }
     }
 
-    /// When to report because of the need; `None` without a need.
+    /// The time at which to report the need; `None` without a need.
     pub fn report_at(&self, now: Now) -> Option<Now> {
         if self.amount(now) <= 0.0 {
             return None;
