--- a/crates/quota/tests/holder.rs
+++ b/crates/quota/tests/holder.rs
@@ -1,4 +1,4 @@
-//! A holder by itself: the end of its leases, its floor and its debt.
+//! A single holder: the expiry of its leases, its floor rate and its debt.
 
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
     holder.set_floor(at(0.0), &BOUNDS, LIMIT, 10);
     assert!(holder.apply_grant(at(1.0), at(0.9), grant(1, 1)));
     assert_eq!(holder.rate(at(5.8)), 100.0);
-    // A frozen holder finds its lease ended, and its bucket cut to its floor's depth.
+    // After a freeze the lease has expired and the bucket is truncated to the depth of the floor.
     assert!(holder.rate(at(5.95)) < 2.0);
     assert!(!holder.take(at(30.0), 100.0));
     assert!(holder.take(at(30.0), 3.0));
--- a/crates/quota/tests/path.rs
+++ b/crates/quota/tests/path.rs
@@ -1,4 +1,4 @@
-//! The ordinary path: owner to home to gateway.
+//! The path without faults: from the owner through a home to a gateway.
 
 use std::time::Duration;
 
@@ -19,11 +19,11 @@
         now += Duration::from_millis(250);
         round(now, &mut owner, &mut home, &mut holder);
     }
-    // Lent ahead of demand: 6,000 in four seconds were asked for.
+    // Leased ahead of demand: 6,000 units were requested within four seconds.
     assert!(holder.rate(now) > 3_000.0, "{}", holder.rate(now));
     assert!(holder.take(now, 6_000.0));
 
-    // Larger than its bucket and than the pool of its home: admitted after one round to the owner.
+    // Larger than the bucket and the pool of the home: admitted after one round trip to the owner.
     assert!(!holder.take(now, 60_000.0));
     now += Duration::from_millis(20);
     assert!(holder.urgent(now) && !home.urgent(now));
--- a/crates/quota/tests/pending_grants.rs
+++ b/crates/quota/tests/pending_grants.rs
@@ -1,4 +1,5 @@
-//! Grants that a home makes between its gateways' reports, for requests that wait: none that brings nothing.
+//! Grants that a home makes between the reports of its gateways, for waiting requests: no such grant is
+//! without a credit.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,10 +12,10 @@
 const BOUNDS: QuotaBounds = QuotaBounds { window: Duration::from_secs(8), over: 0.1, slack: 140_000.0 };
 const LIMIT: QuotaLimit = QuotaLimit { rate: 36_000.0, burst: 36_000.0 };
 const MILLISECOND: Duration = Duration::from_millis(1);
-/// What the gateways that wait need each, in units.
+/// The need of each waiting gateway, in units.
 const NEED: f64 = 6_000.0;
 
-/// A home that has just got its first grant, with an empty pool.
+/// A home that has just received its first grant, with an empty pool.
 fn home(now: Duration) -> Allocator {
     let mut home = Allocator::new(now, GrantSource::home(5), 1);
     let total = BOUNDS.total(LIMIT, now + LEASE_DURATION);
@@ -33,14 +34,15 @@
     home
 }
 
-fn held(grant: &Grant) -> HeldLease {
+fn held_lease_of(grant: &Grant) -> HeldLease {
     let Grant { token, number, rate, burst, debt, valid_for, .. } = *grant;
     HeldLease { token, number, rate, burst, debt, remaining: valid_for }
 }
 
-/// All gateways of a home come back at the same moment, and the pool is empty: each of its events is an occasion to grant.
+/// All gateways of a home restart at the same time while its pool is empty. The home may make grants at each
+/// of its events, and must not make any without a sufficient credit.
 #[test]
-fn a_need_that_cant_be_paid_yet_brings_no_grants() {
+fn a_need_that_cannot_be_paid_yet_causes_no_grants() {
     let mut now = Duration::from_secs(1);
     let mut home = home(now);
     let gateways: Vec<HolderId> = (0..15).map(HolderId).collect();
@@ -51,7 +53,7 @@
         if step % 100 == 0 {
             for gateway in &gateways {
                 let need = if paid.contains(gateway) { 0.0 } else { NEED };
-                let held_lease = leases.get(gateway).map(held);
+                let held_lease = leases.get(gateway).map(held_lease_of);
                 let demand = Demand { rate: 300.0, need, held_lease, ..Demand::default() };
                 let grant = home.report(now, *gateway, demand);
                 leases.insert(*gateway, grant);
@@ -69,14 +71,14 @@
     }
     assert!(
         !paid.is_empty(),
-        "the pool fills, and what waits is paid: {}, {} holders",
+        "the pool has filled, but no need was paid: level {}, {} holders",
         home.pool_level(),
         home.holders()
     );
     assert!(grants <= gateways.len(), "{grants} grants in a second");
 }
 
-/// What the pool has is paid at once, not with the next report.
+/// A need is paid as soon as the pool covers it, not only with the next report.
 #[test]
 fn a_need_is_paid_as_soon_as_the_pool_has_it() {
     let mut now = Duration::from_secs(1);
@@ -87,10 +89,14 @@
         if let Some((_, grant)) = home.grant_pending(now).pop() {
             break grant;
         }
-        assert!(home.pool_level() < NEED, "{} are there and not paid at {now:?}", home.pool_level());
+        assert!(
+            home.pool_level() < NEED,
+            "the pool has {} units, but the need is not paid at {now:?}",
+            home.pool_level()
+        );
         home.report(now, gateway, Demand { rate: 0.0, need: NEED, ..Demand::default() });
         now += MILLISECOND;
-        assert!(now < Duration::from_secs(2), "the pool doesn't fill: {}", home.pool_level());
+        assert!(now < Duration::from_secs(2), "the pool does not fill: {}", home.pool_level());
     };
     assert!(paid.credit >= NEED, "{paid:?}");
 }
--- a/crates/quota/tests/serialized_format.rs
+++ b/crates/quota/tests/serialized_format.rs
@@ -1,8 +1,8 @@
-//! The serialized form of every message of this crate, against bytes that were written before.
+//! The serialized form of every message of this crate, compared with recorded bytes.
 //!
 //! Gateways and control-plane processes of different builds exchange these messages, so a reordered field
 //! breaks a rolling upgrade. Each test builds the value itself, expects the recorded bytes and decodes them
-//! again. `BLESS_FIXTURES=1` records the bytes anew after an intended change.
+//! again. `BLESS_FIXTURES=1` records the bytes again after an intended change.
 
 use std::fmt::Debug;
 use std::time::Duration;
@@ -16,16 +16,16 @@
     Fixtures::of(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// Expects that `value` is written as the recorded bytes and is read back from them.
+/// Asserts that `value` is encoded as the recorded bytes and decoded from them.
 fn assert_message<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
     let mut bytes = Vec::new();
     rmp_serde::encode::write(&mut bytes, value).unwrap();
     let recorded = fixtures().assert_hex(&format!("{name}.hex"), &bytes);
     let decoded: T = rmp_serde::from_slice(&recorded).unwrap();
-    assert_eq!(&decoded, value, "{name}: read as another value");
+    assert_eq!(&decoded, value, "{name}: decoded as another value");
 }
 
-/// Each field has a value of its own.
+/// Each field has a different value.
 const OWNER_INCARNATION: OwnerIncarnation = OwnerIncarnation { token: 7 << 20, nonce: 0x1234_5678_9abc_def0 };
 const HELD_LEASE: HeldLease = HeldLease {
     token: 7_340_033,
--- a/crates/quota/tests/simulation.rs
+++ b/crates/quota/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! A tenant's quota over whole fleets in virtual time: the sums that the rule judges, and refusals within
-//! the limit.
+//! The quota of a tenant in simulated fleets, in virtual time: the sums over any window stay within the
+//! bounds, and few requests within the limit are refused.
 
 mod support;
 
@@ -40,61 +40,62 @@
         limit: QuotaLimit { rate: case.rate, burst: case.rate },
         load: Load::uneven(case.rate * share, case.sizes, case.gateways, &mut random),
         seed,
-        begin: Duration::from_secs(5),
-        length: Duration::from_secs(40),
-        change: None,
+        start_at: Duration::from_secs(5),
+        duration: Duration::from_secs(40),
+        limit_change: None,
         faults: Vec::new(),
     }
 }
 
-fn worst(outcomes: impl IntoIterator<Item = Outcome>) -> Outcome {
-    let mut worst = Outcome::default();
+fn combine(outcomes: impl IntoIterator<Item = Outcome>) -> Outcome {
+    let mut combined = Outcome::default();
     for outcome in outcomes {
-        worst.requests += outcome.requests;
-        worst.owed += outcome.owed;
-        worst.delayed += outcome.delayed;
-        worst.refused += outcome.refused;
-        worst.reports += outcome.reports;
-        worst.waited += outcome.waited;
-        worst.wait += outcome.wait;
-        worst.longest_wait = worst.longest_wait.max(outcome.longest_wait);
-        worst.worst_window = worst.worst_window.max(outcome.worst_window);
-        worst.worst_plain = worst.worst_plain.max(outcome.worst_plain);
+        combined.requests += outcome.requests;
+        combined.within_limit += outcome.within_limit;
+        combined.delayed += outcome.delayed;
+        combined.refused += outcome.refused;
+        combined.reports += outcome.reports;
+        combined.waited += outcome.waited;
+        combined.wait += outcome.wait;
+        combined.longest_wait = combined.longest_wait.max(outcome.longest_wait);
+        combined.worst_window = combined.worst_window.max(outcome.worst_window);
+        combined.worst_without_margin = combined.worst_without_margin.max(outcome.worst_without_margin);
     }
-    worst
+    combined
 }
 
 fn print(case: &Case, what: &str, outcome: &Outcome) {
     println!(
-        "{:<18} {:<26} window {:.3} of allowed, {:.3} of plain; owed refused {:.2}%, delayed {:.1}%, by {:.0} ms; {} requests, {} reports",
+        "{:<18} {:<26} window {:.3} of allowed, {:.3} without margin; within limit: refused {:.2}%, delayed {:.1}%, by {:.0} ms; {} requests, {} reports",
         case.name,
         what,
         outcome.worst_window,
-        outcome.worst_plain,
-        100.0 * outcome.refused_share(),
-        100.0 * outcome.delayed_share(),
+        outcome.worst_without_margin,
+        100.0 * outcome.refused_fraction(),
+        100.0 * outcome.delayed_fraction(),
         1e3 * outcome.mean_wait().as_secs_f64(),
         outcome.requests,
         outcome.reports,
     );
 }
 
-/// Runs all cases under one plan; the worst sum over any window must keep the rule.
-fn run(what: &str, share: f64, most_refused: f64, plan: impl Fn(&mut FleetSettings)) {
-    let mut broken = Vec::new();
+/// Runs all cases with the given load and faults. Asserts that no sum over a window exceeds the bounds, and
+/// that at most the given fraction of the load within the limit is refused.
+fn run(what: &str, share: f64, max_refused_fraction: f64, configure: impl Fn(&mut FleetSettings)) {
+    let mut exceeded = Vec::new();
     for case in cases() {
         let seeds = if case.gateways > 100 { 0..1 } else { 0..4 };
-        let outcome = worst(seeds.map(|seed| {
+        let outcome = combine(seeds.map(|seed| {
             let mut settings = settings(case, share, seed);
-            plan(&mut settings);
+            configure(&mut settings);
             Fleet::run(settings)
         }));
         print(&case, what, &outcome);
-        if outcome.worst_window > 1.0 || outcome.refused_share() > most_refused {
-            broken.push((case.name, outcome));
+        if outcome.worst_window > 1.0 || outcome.refused_fraction() > max_refused_fraction {
+            exceeded.push((case.name, outcome));
         }
     }
-    assert!(broken.is_empty(), "{what}: {broken:#?}");
+    assert!(exceeded.is_empty(), "{what}: {exceeded:#?}");
 }
 
 fn seconds(seconds: f64) -> Duration {
@@ -112,31 +113,31 @@
 }
 
 #[test]
-fn a_jump_at_one_gateway_is_served() {
+fn a_surge_at_one_gateway_is_served() {
     run("one gateway x8", 0.4, 0.02, |settings| {
-        settings.load.jump = Some((seconds(15.0), seconds(25.0), 8.0));
+        settings.load.surge = Some((seconds(15.0), seconds(25.0), 8.0));
     });
 }
 
 #[test]
-fn three_times_the_limit_keeps_the_rule() {
+fn three_times_the_limit_stays_within_the_bounds() {
     run("3 x the limit", 3.0, 1.0, |_| {});
 }
 
 #[test]
-fn bursts_after_pauses_keep_the_rule() {
+fn bursts_after_pauses_stay_within_the_bounds() {
     run("6 x after pauses", 6.0, 1.0, |settings| settings.load.pauses = Some(seconds(4.0)));
 }
 
 #[test]
-fn a_lowered_limit_binds() {
+fn a_lowered_limit_is_enforced() {
     run("limit to a third", 2.0, 1.0, |settings| {
         let lower = QuotaLimit { rate: settings.limit.rate / 3.0, burst: settings.limit.burst / 3.0 };
-        settings.change = Some((seconds(18.0), lower));
+        settings.limit_change = Some((seconds(18.0), lower));
     });
 }
 
-fn restarts(settings: &mut FleetSettings) {
+fn restart_faults(settings: &mut FleetSettings) {
     for step in 0..20 {
         let gateway = step * 7 % settings.gateways;
         settings.faults.push((seconds(8.0 + step as f64), Fault::RestartGateway(gateway)));
@@ -147,12 +148,12 @@
 }
 
 #[test]
-fn restarts_keep_the_rule() {
-    run("restarts, 3 x", 3.0, 1.0, restarts);
-    run("restarts, half", 0.5, 0.05, restarts);
+fn restarts_stay_within_the_bounds() {
+    run("restarts, 3 x", 3.0, 1.0, restart_faults);
+    run("restarts, half", 0.5, 0.05, restart_faults);
 }
 
-fn cuts(settings: &mut FleetSettings) {
+fn cut_faults(settings: &mut FleetSettings) {
     for gateway in 0..settings.gateways / 3 {
         settings.faults.push((seconds(10.0), Fault::CutGateway(gateway, seconds(8.0))));
     }
@@ -160,44 +161,44 @@
 }
 
 #[test]
-fn cuts_keep_the_rule() {
-    run("cuts, 3 x", 3.0, 1.0, cuts);
-    run("cuts, half", 0.5, 0.2, cuts);
+fn partitions_stay_within_the_bounds() {
+    run("cuts, 3 x", 3.0, 1.0, cut_faults);
+    run("cuts, half", 0.5, 0.2, cut_faults);
 }
 
-fn owners(settings: &mut FleetSettings) {
+fn owner_faults(settings: &mut FleetSettings) {
     settings.faults.push((seconds(10.0), Fault::LoseOwner(seconds(1.2))));
     settings.faults.push((seconds(18.0), Fault::LoseOwner(seconds(0.1))));
     settings.faults.push((seconds(26.0), Fault::SplitOwner(2, seconds(1.2))));
 }
 
 #[test]
-fn lost_owners_keep_the_rule() {
-    run("owners, 3 x", 3.0, 1.0, owners);
-    run("owners, half", 0.5, 0.05, owners);
+fn lost_owners_stay_within_the_bounds() {
+    run("owners, 3 x", 3.0, 1.0, owner_faults);
+    run("owners, half", 0.5, 0.05, owner_faults);
 }
 
-fn kill_all(settings: &mut FleetSettings) {
+fn kill_all_faults(settings: &mut FleetSettings) {
     settings.faults.push((seconds(12.0), Fault::KillAll));
     settings.faults.push((seconds(15.0), Fault::KillAll));
     settings.faults.push((seconds(25.0), Fault::KillAll));
 }
 
 #[test]
-fn kills_of_all_keep_the_rule() {
-    run("all killed, 3 x", 3.0, 1.0, kill_all);
-    // Buckets begin empty after each of the three kills.
-    run("all killed, half", 0.5, 0.08, kill_all);
+fn kills_of_all_processes_stay_within_the_bounds() {
+    run("all killed, 3 x", 3.0, 1.0, kill_all_faults);
+    // Buckets are empty after each of the three kills.
+    run("all killed, half", 0.5, 0.08, kill_all_faults);
 }
 
-fn kill_core(settings: &mut FleetSettings) {
-    settings.faults.push((seconds(12.0), Fault::KillCore));
-    settings.faults.push((seconds(14.0), Fault::KillCore));
-    settings.faults.push((seconds(25.0), Fault::KillCore));
+fn kill_control_plane_faults(settings: &mut FleetSettings) {
+    settings.faults.push((seconds(12.0), Fault::KillControlPlane));
+    settings.faults.push((seconds(14.0), Fault::KillControlPlane));
+    settings.faults.push((seconds(25.0), Fault::KillControlPlane));
 }
 
 #[test]
-fn kills_of_the_core_keep_the_rule() {
-    run("core killed, 3 x", 3.0, 1.0, kill_core);
-    run("core killed, half", 0.5, 0.05, kill_core);
+fn kills_of_the_control_plane_stay_within_the_bounds() {
+    run("control plane killed, 3 x", 3.0, 1.0, kill_control_plane_faults);
+    run("control plane killed, half", 0.5, 0.05, kill_control_plane_faults);
 }
--- a/crates/quota/tests/support/fleet.rs
+++ b/crates/quota/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! Owner, homes and gateways, and the messages between them.
+//! The simulated owner, homes and gateways, and the messages between them.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
@@ -10,9 +10,9 @@
 use super::parts::{Event, Fault, FleetSettings, Gateway, Home, Owner, Queued, Waiting};
 
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a gateway holds a request that waits for a credit.
+/// The maximum time for which a request waits for a credit at a gateway.
 const MAX_WAIT: Duration = Duration::from_millis(300);
-/// How long the owner's right lasts after it was last confirmed.
+/// How long ownership lasts after its last confirmation.
 const OWNERSHIP_DURATION: Duration = Duration::from_secs(5);
 
 pub struct Fleet {
@@ -20,8 +20,8 @@
     now: Duration,
     random: fastrand::Rng,
     queue: BinaryHeap<Reverse<Queued>>,
-    numbers: u64,
-    ids: u64,
+    last_number: u64,
+    last_id: u64,
     gateways: Vec<Gateway>,
     homes: Vec<Home>,
     owners: Vec<Owner>,
@@ -34,7 +34,7 @@
     pub fn run(settings: FleetSettings) -> Outcome {
         let mut fleet = Self::new(settings);
         while let Some(Reverse(queued)) = fleet.queue.pop() {
-            if queued.at > fleet.settings.length {
+            if queued.at > fleet.settings.duration {
                 break;
             }
             fleet.now = queued.at;
@@ -49,8 +49,8 @@
             now: zero,
             random: fastrand::Rng::with_seed(settings.seed),
             queue: BinaryHeap::new(),
-            numbers: 0,
-            ids: 0,
+            last_number: 0,
+            last_id: 0,
             gateways: Vec::new(),
             homes: Vec::new(),
             owners: vec![Owner {
@@ -77,14 +77,14 @@
         for (index, (at, _)) in fleet.settings.faults.clone().into_iter().enumerate() {
             fleet.push_at(at, Event::Fault(index));
         }
-        fleet.push_at(fleet.settings.begin, Event::Arrival);
+        fleet.push_at(fleet.settings.start_at, Event::Arrival);
         fleet.push(zero, Event::OwnerTick);
         fleet
     }
 
     fn new_id(&mut self) -> u64 {
-        self.ids += 1;
-        self.ids
+        self.last_id += 1;
+        self.last_id
     }
 
     fn new_gateway(&mut self, home: usize) -> Gateway {
@@ -92,7 +92,15 @@
         let mut holder = Holder::new(self.now);
         let count = self.settings.gateways as u32;
         holder.set_floor(self.now, &self.settings.bounds, self.limit(), count);
-        Gateway { id, holder, home, cut: false, last_sent: self.now, waiting: Vec::new(), polled: false }
+        Gateway {
+            id,
+            holder,
+            home,
+            cut: false,
+            last_sent: self.now,
+            waiting: Vec::new(),
+            poll_scheduled: false,
+        }
     }
 
     fn new_home(&mut self, owner: usize) -> Home {
@@ -105,7 +113,7 @@
             owner,
             last_sent: self.now,
             gateways: BTreeSet::new(),
-            polled: false,
+            poll_scheduled: false,
         }
     }
 
@@ -122,7 +130,7 @@
     }
 
     fn limit(&self) -> QuotaLimit {
-        match self.settings.change {
+        match self.settings.limit_change {
             Some((at, limit)) if self.now >= at => limit,
             _ => self.settings.limit,
         }
@@ -133,25 +141,25 @@
     }
 
     fn push_at(&mut self, at: Duration, event: Event) {
-        self.numbers += 1;
-        self.queue.push(Reverse(Queued { at, number: self.numbers, event }));
+        self.last_number += 1;
+        self.queue.push(Reverse(Queued { at, number: self.last_number, event }));
     }
 
-    fn link(&mut self) -> Duration {
+    fn network_delay(&mut self) -> Duration {
         Duration::from_micros(self.random.u64(800..3_000))
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrival => self.arrive(),
+            Event::Arrival => self.handle_arrival(),
             Event::GatewayTick(gateway, id) => self.gateway_tick(gateway, id),
             Event::HomeTick(home, id) => self.home_tick(home, id),
             Event::GatewayPoll(gateway, id) if self.gateways[gateway].id == id => {
-                self.gateways[gateway].polled = false;
+                self.gateways[gateway].poll_scheduled = false;
                 self.gateway_poll(gateway);
             }
             Event::HomePoll(home, id) if self.homes[home].id == id => {
-                self.homes[home].polled = false;
+                self.homes[home].poll_scheduled = false;
                 self.home_poll(home);
             }
             Event::GatewayPoll(..) | Event::HomePoll(..) => {}
@@ -172,7 +180,7 @@
                 self.home_reported(home, id, owner, sent_at, demand)
             }
             Event::HomeGrant { home, id, sent_at, grant } => self.home_granted(home, id, sent_at, grant),
-            Event::Fault(index) => self.fault(self.settings.faults[index].1),
+            Event::Fault(index) => self.apply_fault(self.settings.faults[index].1),
             Event::OwnerTakesOver { split_home } => self.take_over(split_home),
             Event::HomeUp(home) => {
                 self.homes[home] = self.new_home(self.owners.len() - 1);
@@ -186,24 +194,24 @@
         }
     }
 
-    fn arrive(&mut self) {
+    fn handle_arrival(&mut self) {
         let (gap, gateway) = self.settings.load.next(self.now, &mut self.random);
         let amount = self.settings.load.sizes.draw(&mut self.random);
         self.push(gap, Event::Arrival);
         let limit = self.limit();
-        let owed = self.reference.admits(self.now, amount, limit);
+        let within_limit = self.reference.admits(self.now, amount, limit);
         self.outcome.requests += 1;
-        if owed {
-            self.outcome.owed += amount;
+        if within_limit {
+            self.outcome.within_limit += amount;
         }
         if self.gateways[gateway].holder.take(self.now, amount) {
-            self.taken(amount);
+            self.record_taken(amount);
             return;
         }
-        if owed {
+        if within_limit {
             self.outcome.delayed += amount;
         }
-        let waiting = Waiting { since: self.now, amount, owed };
+        let waiting = Waiting { since: self.now, amount, within_limit };
         self.gateways[gateway].waiting.push(waiting);
         self.gateway_poll(gateway);
     }
@@ -212,8 +220,8 @@
         let id = self.gateways[gateway].id;
         match self.gateways[gateway].holder.report_at(self.now) {
             Some(at) if at <= self.now => self.gateway_report(gateway),
-            Some(at) if !self.gateways[gateway].polled => {
-                self.gateways[gateway].polled = true;
+            Some(at) if !self.gateways[gateway].poll_scheduled => {
+                self.gateways[gateway].poll_scheduled = true;
                 self.push_at(at, Event::GatewayPoll(gateway, id));
             }
             _ => {}
@@ -224,8 +232,8 @@
         let id = self.homes[home].id;
         match self.homes[home].allocator.report_at(self.now) {
             Some(at) if at <= self.now => self.home_report(home),
-            Some(at) if !self.homes[home].polled => {
-                self.homes[home].polled = true;
+            Some(at) if !self.homes[home].poll_scheduled => {
+                self.homes[home].poll_scheduled = true;
                 self.push_at(at, Event::HomePoll(home, id));
             }
             _ => {}
@@ -241,17 +249,17 @@
         }
     }
 
-    fn taken(&mut self, amount: f64) {
-        let limit = match self.settings.change {
-            // A lower limit binds one window after it has been applied everywhere.
+    fn record_taken(&mut self, amount: f64) {
+        let limit = match self.settings.limit_change {
+            // A lowered limit is enforced in full one window after it was applied everywhere.
             Some((at, _)) if self.now < at + Duration::from_secs(2) + self.settings.bounds.window => {
                 self.settings.limit
             }
             _ => self.limit(),
         };
-        let (worst, plain) = self.window.take(self.now, amount, limit);
+        let (worst, without_margin) = self.window.take(self.now, amount, limit);
         self.outcome.worst_window = self.outcome.worst_window.max(worst);
-        self.outcome.worst_plain = self.outcome.worst_plain.max(plain);
+        self.outcome.worst_without_margin = self.outcome.worst_without_margin.max(without_margin);
     }
 
     fn retry_waiting(&mut self, gateway: usize) {
@@ -262,10 +270,10 @@
                 self.outcome.waited += 1;
                 self.outcome.wait += wait;
                 self.outcome.longest_wait = self.outcome.longest_wait.max(wait);
-                self.taken(request.amount);
+                self.record_taken(request.amount);
             } else if self.now - request.since < MAX_WAIT {
                 self.gateways[gateway].waiting.push(request);
-            } else if request.owed {
+            } else if request.within_limit {
                 self.outcome.refused += request.amount;
             }
         }
@@ -296,8 +304,8 @@
         let demand = self.gateways[gateway].holder.demand(self.now, source);
         self.gateways[gateway].last_sent = self.now;
         let id = self.gateways[gateway].id;
-        let link = self.link();
-        self.push(link, Event::GatewayReport { gateway, id, home, sent_at: self.now, demand });
+        let network_delay = self.network_delay();
+        self.push(network_delay, Event::GatewayReport { gateway, id, home, sent_at: self.now, demand });
     }
 
     fn gateway_reported(&mut self, gateway: usize, id: u64, home: usize, sent_at: Duration, demand: Demand) {
@@ -307,8 +315,8 @@
         let holder = HolderId(id);
         self.homes[home].gateways.insert(holder);
         let grant = self.homes[home].allocator.report(self.now, holder, demand);
-        let link = self.link();
-        self.push(link, Event::GatewayGrant { gateway, id, sent_at, grant });
+        let network_delay = self.network_delay();
+        self.push(network_delay, Event::GatewayGrant { gateway, id, sent_at, grant });
         self.home_grant_pending(home);
         self.home_poll(home);
     }
@@ -332,8 +340,8 @@
         self.homes[home].last_sent = self.now;
         let (id, owner) = (self.homes[home].id, self.homes[home].owner);
         let demand = self.homes[home].allocator.demand(self.now);
-        let link = self.link();
-        self.push(link, Event::HomeReport { home, id, owner, sent_at: self.now, demand });
+        let network_delay = self.network_delay();
+        self.push(network_delay, Event::HomeReport { home, id, owner, sent_at: self.now, demand });
     }
 
     fn home_reported(&mut self, home: usize, id: u64, owner: usize, sent_at: Duration, demand: Demand) {
@@ -341,15 +349,15 @@
             return;
         }
         let grant = self.owners[owner].allocator.report(self.now, HolderId(id), demand);
-        let link = self.link();
-        self.push(link, Event::HomeGrant { home, id, sent_at, grant });
+        let network_delay = self.network_delay();
+        self.push(network_delay, Event::HomeGrant { home, id, sent_at, grant });
         for (holder, grant) in self.owners[owner].allocator.grant_pending(self.now) {
             let Some(home) = self.homes.iter().position(|home| home.id == holder.0) else {
                 continue;
             };
             let (id, sent_at) = (holder.0, self.homes[home].last_sent);
-            let link = self.link();
-            self.push(link, Event::HomeGrant { home, id, sent_at, grant });
+            let network_delay = self.network_delay();
+            self.push(network_delay, Event::HomeGrant { home, id, sent_at, grant });
         }
     }
 
@@ -367,12 +375,12 @@
                 continue;
             };
             let (id, sent_at) = (holder.0, self.gateways[gateway].last_sent);
-            let link = self.link();
-            self.push(link, Event::GatewayGrant { gateway, id, sent_at, grant });
+            let network_delay = self.network_delay();
+            self.push(network_delay, Event::GatewayGrant { gateway, id, sent_at, grant });
         }
     }
 
-    fn fault(&mut self, fault: Fault) {
+    fn apply_fault(&mut self, fault: Fault) {
         match fault {
             Fault::RestartGateway(gateway) => self.restart_gateway(gateway),
             Fault::KillHome(home, down) => {
@@ -383,13 +391,13 @@
                     gateway.home = (home + 1 + gateway.id as usize % (count - 1)) % count;
                 }
             }
-            Fault::CutGateway(gateway, length) => {
+            Fault::CutGateway(gateway, duration) => {
                 self.gateways[gateway].cut = true;
-                self.push(length, Event::HealGateway(gateway));
+                self.push(duration, Event::HealGateway(gateway));
             }
-            Fault::CutHome(home, length) => {
+            Fault::CutHome(home, duration) => {
                 self.homes[home].cut = true;
-                self.push(length, Event::HealHome(home));
+                self.push(duration, Event::HealHome(home));
             }
             Fault::LoseOwner(after) => {
                 self.owners.last_mut().unwrap().up = false;
@@ -403,13 +411,13 @@
                 for gateway in 0..self.gateways.len() {
                     self.restart_gateway(gateway);
                 }
-                self.kill_core();
+                self.kill_control_plane();
             }
-            Fault::KillCore => self.kill_core(),
+            Fault::KillControlPlane => self.kill_control_plane(),
         }
     }
 
-    fn kill_core(&mut self) {
+    fn kill_control_plane(&mut self) {
         self.owners.last_mut().unwrap().up = false;
         for home in 0..self.homes.len() {
             self.homes[home] = self.new_home(self.owners.len());
--- a/crates/quota/tests/support/measure.rs
+++ b/crates/quota/tests/support/measure.rs
@@ -1,46 +1,46 @@
-//! What is judged: sums over windows, and refusals of what lay within the limit.
+//! Measurements: sums over windows, and refusals of requests within the limit.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crankpick_quota::{QuotaBounds, QuotaLimit};
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     pub requests: usize,
-    /// Units asked for that a central bucket of the limit would have admitted.
-    pub owed: f64,
-    /// Of those, units admitted only after a wait.
+    /// Requested units that a central bucket with the limit would have admitted.
+    pub within_limit: f64,
+    /// Of these, the units that were not admitted at once.
     pub delayed: f64,
-    /// Of those, units refused.
+    /// Of these, the refused units.
     pub refused: f64,
-    /// The worst sum over a window, by what the rule allows.
+    /// The maximum sum over a window, as a fraction of the allowed sum.
     pub worst_window: f64,
-    /// The worst sum over a window, by rate x window + burst.
-    pub worst_plain: f64,
+    /// The maximum sum over a window, as a fraction of rate x window + burst.
+    pub worst_without_margin: f64,
     pub reports: usize,
-    /// Requests admitted after a wait, and how long they waited in all and at most.
+    /// The number of requests admitted after a wait, and their total and maximum waiting time.
     pub waited: usize,
     pub wait: Duration,
     pub longest_wait: Duration,
 }
 
 impl Outcome {
-    pub fn refused_share(&self) -> f64 {
-        self.refused / self.owed.max(1e-9)
+    pub fn refused_fraction(&self) -> f64 {
+        self.refused / self.within_limit.max(1e-9)
     }
 
     pub fn mean_wait(&self) -> Duration {
         self.wait / self.waited.max(1) as u32
     }
 
-    pub fn delayed_share(&self) -> f64 {
-        self.delayed / self.owed.max(1e-9)
+    pub fn delayed_fraction(&self) -> f64 {
+        self.delayed / self.within_limit.max(1e-9)
     }
 }
 
-/// Sums what was taken in the last window.
+/// Sums the units taken in the last window.
 pub struct Window {
     taken: VecDeque<(Duration, f64)>,
     sum: f64,
@@ -52,19 +52,20 @@
         Self { taken: VecDeque::new(), sum: 0.0, bounds }
     }
 
-    /// Notes what was taken; the sum by what is allowed, and by what is allowed without any margin.
+    /// Records taken units. Returns the sum as a fraction of the allowed sum, and of the allowed sum without
+    /// the margin.
     pub fn take(&mut self, now: Duration, amount: f64, limit: QuotaLimit) -> (f64, f64) {
         self.taken.push_back((now, amount));
         self.sum += amount;
         while self.taken.front().is_some_and(|(at, _)| *at + self.bounds.window < now) {
             self.sum -= self.taken.pop_front().unwrap().1;
         }
-        let plain = limit.rate * self.bounds.window.as_secs_f64() + limit.burst;
-        (self.sum / self.bounds.max_per_window(limit), self.sum / plain)
+        let without_margin = limit.rate * self.bounds.window.as_secs_f64() + limit.burst;
+        (self.sum / self.bounds.max_per_window(limit), self.sum / without_margin)
     }
 }
 
-/// A bucket of the limit itself: what it admits is owed.
+/// A central token bucket with the limit. Requests that it admits are within the limit.
 pub struct Reference {
     level: f64,
     at: Duration,
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet in virtual time: owner, homes, gateways and one tenant's clients.
+//! Simulation of a fleet in virtual time: owner, homes, gateways and the clients of one tenant.
 
 pub mod fleet;
 pub mod load;
--- a/crates/quota/tests/support/parts.rs
+++ b/crates/quota/tests/support/parts.rs
@@ -1,4 +1,4 @@
-//! The parts of a fleet in virtual time, and what happens to them.
+//! The parts of the simulated fleet, its events and its faults.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,18 +15,18 @@
     pub limit: QuotaLimit,
     pub load: Load,
     pub seed: u64,
-    pub begin: Duration,
-    pub length: Duration,
-    /// The limit changes then to this.
-    pub change: Option<(Duration, QuotaLimit)>,
+    pub start_at: Duration,
+    pub duration: Duration,
+    /// The time of a change of the limit, and the new limit.
+    pub limit_change: Option<(Duration, QuotaLimit)>,
     pub faults: Vec<(Duration, Fault)>,
 }
 
-/// What goes wrong.
+/// A fault of the simulated fleet.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
     RestartGateway(usize),
-    /// Kills a home; its gateways move to others, and it comes back after this time.
+    /// Kills a home. Its gateways move to others, and it restarts after this time.
     KillHome(usize, Duration),
     /// Cuts a gateway off from all homes for this time.
     CutGateway(usize, Duration),
@@ -34,11 +34,12 @@
     CutHome(usize, Duration),
     /// The owner is lost; another takes over after this time.
     LoseOwner(Duration),
-    /// The owner is cut off with one home, which takes its old token to be the newest; another takes over.
+    /// Partitions the owner together with one home, which considers its old token the newest. Another owner
+    /// takes over after this time.
     SplitOwner(usize, Duration),
     KillAll,
-    /// Kills the owner and all homes; the gateways go on.
-    KillCore,
+    /// Kills the owner and all homes. The gateways continue.
+    KillControlPlane,
 }
 
 #[derive(Debug)]
@@ -46,7 +47,7 @@
     Arrival,
     GatewayTick(usize, u64),
     HomeTick(usize, u64),
-    /// Looks again whether to report because of a need.
+    /// Checks again whether a need is to be reported.
     GatewayPoll(usize, u64),
     HomePoll(usize, u64),
     OwnerTick,
@@ -114,7 +115,7 @@
 pub struct Waiting {
     pub since: Duration,
     pub amount: f64,
-    pub owed: bool,
+    pub within_limit: bool,
 }
 
 pub struct Gateway {
@@ -124,8 +125,8 @@
     pub cut: bool,
     pub last_sent: Duration,
     pub waiting: Vec<Waiting>,
-    /// A poll is on its way.
-    pub polled: bool,
+    /// Whether a poll event is scheduled.
+    pub poll_scheduled: bool,
 }
 
 pub struct Home {
@@ -136,7 +137,7 @@
     pub owner: usize,
     pub last_sent: Duration,
     pub gateways: BTreeSet<HolderId>,
-    pub polled: bool,
+    pub poll_scheduled: bool,
 }
 
 pub struct Owner {
--- a/crates/quota/tests/trace.rs
+++ b/crates/quota/tests/trace.rs
@@ -1,4 +1,4 @@
-//! A recorded trace: one home and two gateways through a renewal, a need, a lost owner and a lowered limit.
+//! A recorded trace of one home and two gateways: renewals, an unmet need, a lost owner and a lowered limit.
 
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
         }
     }
 
-    fn note(&mut self, what: &str, grant: &Grant) {
+    fn record_grant(&mut self, what: &str, grant: &Grant) {
         let line = format!(
             "{:>5} ms {what}: token {} number {} rate {:.0} burst {:.0} debt {:.0} credit {:.0} for {} ms",
             self.now.as_millis(),
@@ -50,12 +50,12 @@
         self.now += Duration::from_millis(250);
         self.owner.set_total(self.now, BOUNDS.total(self.limit, self.now + LEASE_DURATION));
         let grant = self.owner.report(self.now, HOME, self.home.demand(self.now));
-        self.note("owner to home", &grant);
+        self.record_grant("owner to home", &grant);
         self.home.apply_grant(self.now, self.now, grant);
         for index in 0..self.gateways.len() {
             let demand = self.gateways[index].demand(self.now, GrantSource::home(5));
             let grant = self.home.report(self.now, HolderId(10 + index as u64), demand);
-            self.note(&format!("home to gateway {index}"), &grant);
+            self.record_grant(&format!("home to gateway {index}"), &grant);
             self.gateways[index].apply_grant(self.now, self.now, grant);
         }
     }
@@ -90,9 +90,10 @@
     insta::assert_snapshot!(trace.lines.join("\n"));
 }
 
-/// An owner that starts again under its old token, and knows nothing, rises above what its holders show.
+/// An owner that restarts with its old token and without state raises its token above those that holders
+/// report.
 #[test]
-fn a_restarted_owner_is_believed() {
+fn a_restarted_owner_raises_its_token_above_reported_leases() {
     let mut trace = Trace::new();
     (0..4).for_each(|_| trace.renew());
     trace.owner = Allocator::new(trace.now, GrantSource::OWNER, 1).with_nonce(9);
@@ -103,7 +104,7 @@
     assert!(trace.home.apply_grant(trace.now, sent_at, grant));
 }
 
-/// Grants of an owner that was replaced are refused, and its leases end with the first later one.
+/// Grants of a replaced owner are refused once a grant of its successor was accepted.
 #[test]
 fn a_replaced_owner_is_fenced() {
     let mut trace = Trace::new();
