--- a/crates/control/tests/cut_off.rs
+++ b/crates/control/tests/cut_off.rs
@@ -29,12 +29,12 @@
 }
 
 /// Cuts the connections of machines to all others, in the given direction.
-fn cut(sim: &mut Simulation, isolated: &[usize], direction: CutDirection) {
+fn cut(sim: &mut Simulation, isolated: &[usize], way: CutDirection) {
     let others: Vec<usize> = (0..sim.nodes.len()).filter(|index| !isolated.contains(index)).collect();
     let mut pairs = Vec::new();
     for index in isolated {
         for other in &others {
-            match direction {
+            match way {
                 CutDirection::Both => pairs.extend([(*index, *other), (*other, *index)]),
                 CutDirection::Outward => pairs.push((*index, *other)),
                 CutDirection::Inward => pairs.push((*other, *index)),
@@ -63,12 +63,11 @@
     sim.heard.iter().find(|(heard, _)| *heard == key).map(|(_, outcome)| *outcome)
 }
 
-fn run_case(seed: u64, machines: usize, losses: usize, isolated: &[usize], direction: CutDirection) {
+fn run_case(seed: u64, machines: usize, losses: usize, isolated: &[usize], way: CutDirection) {
     let mut sim = settled_cluster(seed, machines, losses);
     for again in 0..2 {
-        let what =
-            format!("seed {seed}, {machines} machines, {isolated:?} cut off {direction:?}, time {again}");
-        cut(&mut sim, isolated, direction);
+        let what = format!("seed {seed}, {machines} machines, {isolated:?} cut off {way:?}, time {again}");
+        cut(&mut sim, isolated, way);
         let begun = sim.now;
         let first = wait_for_commit(&mut sim);
         assert!(first < ms(4_000), "{what}: {first:?}");
@@ -93,10 +92,10 @@
 
 #[test]
 fn each_member_in_turn() {
-    for direction in [CutDirection::Both, CutDirection::Outward, CutDirection::Inward] {
+    for way in [CutDirection::Both, CutDirection::Outward, CutDirection::Inward] {
         for (machines, losses) in [(3, 1), (4, 1), (5, 2), (8, 2)] {
             for index in 0..machines {
-                run_case(index as u64, machines, losses, &[index], direction);
+                run_case(index as u64, machines, losses, &[index], way);
             }
         }
     }
@@ -104,9 +103,9 @@
 
 #[test]
 fn two_of_a_zone_together() {
-    for direction in [CutDirection::Both, CutDirection::Outward, CutDirection::Inward] {
+    for way in [CutDirection::Both, CutDirection::Outward, CutDirection::Inward] {
         for first in 0..4 {
-            run_case(40 + first as u64, 8, 2, &[first, first + 4], direction);
+            run_case(40 + first as u64, 8, 2, &[first, first + 4], way);
         }
     }
 }
--- a/crates/control/tests/rival_orders.rs
+++ b/crates/control/tests/rival_orders.rs
@@ -124,7 +124,7 @@
 
 #[test]
 fn exactly_one_of_two_rival_commands_commits_after_any_head_fault() {
-    let faults = [
+    let troubles = [
         HeadFault::Nothing,
         HeadFault::Killed,
         HeadFault::Wiped,
@@ -132,7 +132,7 @@
         HeadFault::Leaves,
         HeadFault::AllKilled,
     ];
-    for fault in faults {
+    for fault in troubles {
         for machines in [3, 4, 5] {
             for after in [0, 1, 2, 3, 4, 6, 8, 12, 20, 60] {
                 run_case(after * 7 + machines as u64, machines, fault, after);
--- a/crates/control/tests/schedules.rs
+++ b/crates/control/tests/schedules.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use simulation::schedule::Report;
-use simulation::{correlated_failures, schedule};
+use simulation::{ends, schedule};
 
 fn from_environment(name: &str, default: u64) -> u64 {
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
@@ -41,14 +41,14 @@
 
 #[test]
 fn schedules_of_correlated_failures_lose_nothing() {
-    assert_no_breaches_in_schedules(correlated_failures::run);
+    assert_no_breaches_in_schedules(ends::run);
 }
 
 /// Regression test: a restarted tail committed an entry that a proposal had installed, which was on only two
 /// of five disks although two may be lost.
 #[test]
 fn a_correlated_failure_two_ms_after_an_install_loses_nothing() {
-    let report = correlated_failures::run(6_004_873);
+    let report = ends::run(6_004_873);
     assert!(report.breaches.is_empty(), "{:#?}", report.breaches);
 }
 
--- a/crates/control/tests/simulation/correlated_failures.rs
+++ b/crates/control/tests/simulation/ends.rs
@@ -122,15 +122,14 @@
     fn disks_to_lose(&mut self, failure: &CorrelatedFailure) -> Vec<usize> {
         let views = self.views_in_force();
         let Some(newest) = views.last() else { return Vec::new() };
-        let contains =
-            |list: &[std::net::SocketAddr], index: usize| list.contains(&self.nodes[index].address);
+        let is = |list: &[std::net::SocketAddr], index: usize| list.contains(&self.nodes[index].address);
         let voters: Vec<_> = newest.members.iter().map(|member| member.address).collect();
         let chain = newest.chain.iter().filter_map(|id| newest.member(*id));
         let chain: Vec<_> = chain.map(|member| member.address).collect();
         let wanted = |index: &usize| match failure.lost {
-            LostDisks::Voters => contains(&voters, *index),
-            LostDisks::Chain => contains(&chain, *index),
-            LostDisks::Standbys => !contains(&voters, *index),
+            LostDisks::Voters => is(&voters, *index),
+            LostDisks::Chain => is(&chain, *index),
+            LostDisks::Standbys => !is(&voters, *index),
             LostDisks::Any => true,
         };
         let mut candidates: Vec<usize> = (0..self.nodes.len())
--- a/crates/control/tests/simulation/mod.rs
+++ b/crates/control/tests/simulation/mod.rs
@@ -5,7 +5,7 @@
 #![allow(dead_code)]
 
 pub mod checks;
-pub mod correlated_failures;
+pub mod ends;
 pub mod fencing;
 pub mod inspect;
 pub mod machine;
@@ -150,7 +150,7 @@
     /// Expensive when disks hold many records.
     pub checks_copies_on_acknowledgement: bool,
     /// The correlated failure that waits for its trigger.
-    pub armed_failure: Option<correlated_failures::CorrelatedFailure>,
+    pub armed_failure: Option<ends::CorrelatedFailure>,
     queue: BinaryHeap<Reverse<Scheduled>>,
     number: u64,
     addresses: HashMap<SocketAddr, usize>,
--- a/crates/control/tests/simulation/schedule.rs
+++ b/crates/control/tests/simulation/schedule.rs
@@ -4,7 +4,7 @@
 
 use crankpick_control::Input;
 
-use super::correlated_failures::CorrelatedFailure;
+use super::ends::CorrelatedFailure;
 use super::operators::Wake;
 use super::{ms, DiskMode, Network, Simulation};
 
--- a/crates/control/tests/unit/membership.rs
+++ b/crates/control/tests/unit/membership.rs
@@ -93,9 +93,9 @@
     let silent =
         [voter(1, "a", Present), voter(2, "b", Present), voter(3, "c", Present), voter(4, "d", Unreachable)];
     assert_eq!(voter_ids(1, &silent), [1, 2, 3], "four voters with one unreachable tolerate no loss");
-    let all_present =
+    let whole =
         [voter(1, "a", Present), voter(2, "b", Present), voter(3, "c", Present), voter(4, "d", Present)];
-    assert_eq!(voter_ids(1, &all_present), [1, 2, 3]);
+    assert_eq!(voter_ids(1, &whole), [1, 2, 3]);
 }
 
 #[test]
--- a/crates/control/tests/unit/model.rs
+++ b/crates/control/tests/unit/model.rs
@@ -81,8 +81,8 @@
             hash_replica(&node.replica, state);
             node.disk.len().hash(state);
         }
-        for (hash, _) in &self.messages {
-            hash.hash(state);
+        for (text, _) in &self.messages {
+            text.hash(state);
         }
     }
 }
@@ -157,9 +157,9 @@
         if matches!(&message.body, Body::Heartbeat(heartbeat) if !heartbeat.opened) {
             return;
         }
-        let hash = fingerprint(&format!("{to}{message:?}"));
-        if let Err(at) = self.messages.binary_search_by_key(&hash, |(known, _)| *known) {
-            self.messages.insert(at, (hash, message));
+        let text = fingerprint(&format!("{to}{message:?}"));
+        if let Err(at) = self.messages.binary_search_by_key(&text, |(known, _)| *known) {
+            self.messages.insert(at, (text, message));
         }
     }
 
--- a/crates/quota/src/demand_estimate.rs
+++ b/crates/quota/src/demand_estimate.rs
@@ -31,23 +31,23 @@
     /// Records a request for `amount` units.
     pub fn add(&mut self, now: Now, amount: f64) {
         self.advance(now);
-        let bin = self.bins.newest_mut();
-        bin.amount += amount;
-        bin.requests = bin.requests.saturating_add(1);
+        let asked = self.bins.newest_mut();
+        asked.amount += amount;
+        asked.requests = asked.requests.saturating_add(1);
     }
 
     /// The estimated rate, in units per second: the greater of the rate over the last four seconds and the
     /// rate over the last second, the latter weighted by its number of requests.
     pub fn rate(&mut self, now: Now) -> f64 {
         self.advance(now);
-        let requests = f64::from(self.bins.newest(SHORT_BINS).map(|bin| bin.requests).sum::<u32>());
+        let requests = f64::from(self.bins.newest(SHORT_BINS).map(|asked| asked.requests).sum::<u32>());
         let weight = requests / (requests + HALF_WEIGHT_REQUESTS);
         self.rate_over(BINS).max(self.rate_over(SHORT_BINS) * weight)
     }
 
     /// The rate over the `bins` newest bins, in units per second.
     fn rate_over(&self, bins: usize) -> f64 {
-        let sum: f64 = self.bins.newest(bins).map(|bin| bin.amount).sum();
+        let sum: f64 = self.bins.newest(bins).map(|asked| asked.amount).sum();
         sum / (BIN_WIDTH.as_secs_f64() * bins as f64)
     }
 
--- a/crates/quota/tests/pending_grants.rs
+++ b/crates/quota/tests/pending_grants.rs
@@ -34,7 +34,7 @@
     home
 }
 
-fn held_lease_of(grant: &Grant) -> HeldLease {
+fn held(grant: &Grant) -> HeldLease {
     let Grant { token, number, rate, burst, debt, valid_for, .. } = *grant;
     HeldLease { token, number, rate, burst, debt, remaining: valid_for }
 }
@@ -53,7 +53,7 @@
         if step % 100 == 0 {
             for gateway in &gateways {
                 let need = if paid.contains(gateway) { 0.0 } else { NEED };
-                let held_lease = leases.get(gateway).map(held_lease_of);
+                let held_lease = leases.get(gateway).map(held);
                 let demand = Demand { rate: 300.0, need, held_lease, ..Demand::default() };
                 let grant = home.report(now, *gateway, demand);
                 leases.insert(*gateway, grant);
--- a/crates/quota/tests/retry_budget.rs
+++ b/crates/quota/tests/retry_budget.rs
@@ -18,8 +18,8 @@
     let mut time = 0.0;
     while time < 60.0 {
         // Phases with long gaps leave shares unused.
-        let factor = if time % 20.0 < 9.0 { 20.0 } else { 1.0 };
-        time += -(1.0 - random.f64()).ln() / requests_per_s * factor;
+        let pause = if time % 20.0 < 9.0 { 20.0 } else { 1.0 };
+        time += -(1.0 - random.f64()).ln() / requests_per_s * pause;
         if kill_all_at.is_some_and(|at| time >= at && started < at) {
             started = kill_all_at.unwrap_or(0.0);
             budgets = (0..gateways).map(|_| RetryBudget::new(SETTINGS, gateways as u32)).collect();
--- a/crates/quota/tests/simulation.rs
+++ b/crates/quota/tests/simulation.rs
@@ -81,13 +81,13 @@
 
 /// Runs all cases with the given load and faults. Asserts that no sum over a window exceeds the bounds, and
 /// that at most the given fraction of the load within the limit is refused.
-fn run(what: &str, share: f64, max_refused_fraction: f64, configure: impl Fn(&mut FleetSettings)) {
+fn run(what: &str, share: f64, max_refused_fraction: f64, plan: impl Fn(&mut FleetSettings)) {
     let mut exceeded = Vec::new();
     for case in cases() {
         let seeds = if case.gateways > 100 { 0..1 } else { 0..4 };
         let outcome = combine(seeds.map(|seed| {
             let mut settings = settings(case, share, seed);
-            configure(&mut settings);
+            plan(&mut settings);
             Fleet::run(settings)
         }));
         print(&case, what, &outcome);
@@ -166,7 +166,7 @@
     run("cuts, half", 0.5, 0.2, cut_faults);
 }
 
-fn owner_faults(settings: &mut FleetSettings) {
+fn owners(settings: &mut FleetSettings) {
     settings.faults.push((seconds(10.0), Fault::LoseOwner(seconds(1.2))));
     settings.faults.push((seconds(18.0), Fault::LoseOwner(seconds(0.1))));
     settings.faults.push((seconds(26.0), Fault::SplitOwner(2, seconds(1.2))));
@@ -174,8 +174,8 @@
 
 #[test]
 fn lost_owners_stay_within_the_bounds() {
-    run("owners, 3 x", 3.0, 1.0, owner_faults);
-    run("owners, half", 0.5, 0.05, owner_faults);
+    run("owners, 3 x", 3.0, 1.0, owners);
+    run("owners, half", 0.5, 0.05, owners);
 }
 
 fn kill_all_faults(settings: &mut FleetSettings) {
--- a/crates/quota/tests/support/fleet.rs
+++ b/crates/quota/tests/support/fleet.rs
@@ -21,7 +21,7 @@
     random: fastrand::Rng,
     queue: BinaryHeap<Reverse<Queued>>,
     last_number: u64,
-    last_id: u64,
+    ids: u64,
     gateways: Vec<Gateway>,
     homes: Vec<Home>,
     owners: Vec<Owner>,
@@ -50,7 +50,7 @@
             random: fastrand::Rng::with_seed(settings.seed),
             queue: BinaryHeap::new(),
             last_number: 0,
-            last_id: 0,
+            ids: 0,
             gateways: Vec::new(),
             homes: Vec::new(),
             owners: vec![Owner {
@@ -83,8 +83,8 @@
     }
 
     fn new_id(&mut self) -> u64 {
-        self.last_id += 1;
-        self.last_id
+        self.ids += 1;
+        self.ids
     }
 
     fn new_gateway(&mut self, home: usize) -> Gateway {
@@ -180,7 +180,7 @@
                 self.home_reported(home, id, owner, sent_at, demand)
             }
             Event::HomeGrant { home, id, sent_at, grant } => self.home_granted(home, id, sent_at, grant),
-            Event::Fault(index) => self.apply_fault(self.settings.faults[index].1),
+            Event::Fault(index) => self.fault(self.settings.faults[index].1),
             Event::OwnerTakesOver { split_home } => self.take_over(split_home),
             Event::HomeUp(home) => {
                 self.homes[home] = self.new_home(self.owners.len() - 1);
@@ -205,7 +205,7 @@
             self.outcome.within_limit += amount;
         }
         if self.gateways[gateway].holder.take(self.now, amount) {
-            self.record_taken(amount);
+            self.taken(amount);
             return;
         }
         if within_limit {
@@ -249,7 +249,7 @@
         }
     }
 
-    fn record_taken(&mut self, amount: f64) {
+    fn taken(&mut self, amount: f64) {
         let limit = match self.settings.limit_change {
             // A lowered limit is enforced in full one window after it was applied everywhere.
             Some((at, _)) if self.now < at + Duration::from_secs(2) + self.settings.bounds.window => {
@@ -270,7 +270,7 @@
                 self.outcome.waited += 1;
                 self.outcome.wait += wait;
                 self.outcome.longest_wait = self.outcome.longest_wait.max(wait);
-                self.record_taken(request.amount);
+                self.taken(request.amount);
             } else if self.now - request.since < MAX_WAIT {
                 self.gateways[gateway].waiting.push(request);
             } else if request.within_limit {
@@ -380,7 +380,7 @@
         }
     }
 
-    fn apply_fault(&mut self, fault: Fault) {
+    fn fault(&mut self, fault: Fault) {
         match fault {
             Fault::RestartGateway(gateway) => self.restart_gateway(gateway),
             Fault::KillHome(home, down) => {
--- a/crates/registry/tests/sizes.rs
+++ b/crates/registry/tests/sizes.rs
@@ -21,7 +21,7 @@
     serde_json::from_str(&body).unwrap()
 }
 
-fn encoded_size(message: &impl serde::Serialize) -> usize {
+fn bytes(message: &impl serde::Serialize) -> usize {
     rmp_serde::to_vec(message).unwrap().len()
 }
 
@@ -34,44 +34,36 @@
     for number in 0..BACKENDS {
         let id = format!("i-{:08x}", 0x7f3a_0000 + number);
         let outcome = registry.heartbeat(now, &id, heartbeat(number, 4_000 + number)).unwrap();
-        backend_change = encoded_size(&outcome.announcement.unwrap());
+        backend_change = bytes(&outcome.announcement.unwrap());
         let renewal = registry.heartbeat(now, &id, heartbeat(number, 9_000 + number)).unwrap();
         assert!(renewal.announcement.is_none());
     }
-    let all_backends = registry.changes_since(now, None);
-    let idle = registry.changes_since(now, Some(all_backends.cursor));
+    let whole = registry.changes_since(now, None);
+    let idle = registry.changes_since(now, Some(whole.cursor));
     let mut leases = GatewayLeases::new(now, process);
-    let mut gateway_change = 0;
+    let mut gateway = 0;
     for number in 0..GATEWAYS {
         let id = GatewayId(0x1234_5678_9abc_0000 + number);
         let update = leases.renew(now, id, &format!("edge-hakata-a-{number}"), "hakata-a", 1_000);
-        gateway_change = encoded_size(&update.unwrap());
+        gateway = bytes(&update.unwrap());
     }
-    let all_leases: usize = leases.full_state().iter().map(encoded_size).sum();
+    let all_leases: usize = leases.full_state().iter().map(bytes).sum();
     let batches: Vec<Announcement> = registry.full_state(now);
     let mut builder = TableBuilder::new();
-    builder.apply(now, all_backends.clone());
+    builder.apply(now, whole.clone());
 
     println!(
         "one backend's change: {backend_change} B; flooded to {} peers: {} B",
         HOMES - 1,
         backend_change as u64 * (HOMES - 1)
     );
-    println!("one gateway's change: {gateway_change} B; flooded: {} B", gateway_change as u64 * (HOMES - 1));
-    println!(
-        "an update without changes: {} B; a digest: {} B",
-        encoded_size(&idle),
-        encoded_size(&registry.digest())
-    );
-    println!(
-        "all backends: {} B in {} batches; all gateways: {all_leases} B",
-        encoded_size(&all_backends),
-        batches.len()
-    );
+    println!("one gateway's change: {gateway} B; flooded: {} B", gateway as u64 * (HOMES - 1));
+    println!("an update without changes: {} B; a digest: {} B", bytes(&idle), bytes(&registry.digest()));
+    println!("all backends: {} B in {} batches; all gateways: {all_leases} B", bytes(&whole), batches.len());
     let heartbeats = BACKENDS as f64 / 1.2;
     println!("heartbeats: {heartbeats:.0}/s, {:.0}/s at each of {HOMES} homes", heartbeats / HOMES as f64);
     println!("reports: {}/s, {}/s at each home", GATEWAYS * 4, GATEWAYS * 4 / HOMES);
-    assert!(backend_change < 250 && gateway_change < 120 && encoded_size(&idle) < 40);
-    assert!(encoded_size(&all_backends) < 700_000 && all_leases < 120_000);
+    assert!(backend_change < 250 && gateway < 120 && bytes(&idle) < 40);
+    assert!(bytes(&whole) < 700_000 && all_leases < 120_000);
     assert_eq!(builder.table().len() as u64, BACKENDS);
 }
--- a/crates/registry/tests/support/mod.rs
+++ b/crates/registry/tests/support/mod.rs
@@ -55,7 +55,7 @@
     pub log: Vec<String>,
     fault_rates: FaultRates,
     in_flight: Vec<(usize, ProcessId, Announcement)>,
-    last_id: u64,
+    ids: u64,
 }
 
 impl Fleet {
@@ -70,7 +70,7 @@
             log: Vec::new(),
             fault_rates,
             in_flight: Vec::new(),
-            last_id: 0,
+            ids: 0,
         };
         for _ in 0..PROCESSES {
             let process = fleet.new_process();
@@ -86,14 +86,14 @@
     }
 
     fn new_process(&mut self) -> Process {
-        self.last_id += 1;
+        self.ids += 1;
         let settings = RegistrySettings::new(HEARTBEAT);
-        Process { registry: Registry::new(self.now, ProcessId(self.last_id), settings) }
+        Process { registry: Registry::new(self.now, ProcessId(self.ids), settings) }
     }
 
     fn start_backend(&mut self, port: u16) {
-        self.last_id += 1;
-        let id = format!("i-{}", self.last_id);
+        self.ids += 1;
+        let id = format!("i-{}", self.ids);
         let home = self.random.usize(..PROCESSES);
         let next_heartbeat = self.now;
         self.backends.push(Backend { id, port, seq: 0, draining: false, alive: true, home, next_heartbeat });
