--- a/crates/fleet/src/agree.rs
+++ b/crates/fleet/src/agree.rs
@@ -1,5 +1,5 @@
-//! Agreement among the voters by an existing engine (`raft`), with what it decides applied to the fleet's
-//! state. Called by `node`; the disk is an argument, and a write that fails ends this part as a crash would.
+//! Consensus among the voters, by the `raft` library, with committed entries applied to the fleet's state.
+//! Used by `node`. The disk is an argument; a failed write ends this part as a crash would.
 
 use std::collections::BTreeMap;
 
@@ -15,14 +15,14 @@
 use crate::state::{Command, Fleet, Outcome};
 use crate::words::Roster;
 
-/// Entries kept beside the snapshot; past it a new snapshot takes their place.
+/// Log entries kept before they are compacted into a new snapshot.
 const MOST_ENTRIES: usize = 1_024;
-/// How long a snapshot may be on its way, in times to an election.
+/// How long a snapshot may be in transit, in election timeouts.
 const SNAPSHOT_ELECTIONS: usize = 2;
 const MOST_MESSAGE: u64 = 256 << 10;
 const MOST_UNCOMMITTED: u64 = 4 << 20;
 
-/// Which call of which process an entry answers.
+/// The call that a log entry belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct Origin {
     seat: u64,
@@ -30,18 +30,18 @@
     call: u64,
 }
 
-/// A voter's disk that takes the place of an older one of the same name.
+/// Context of a configuration change: a voter's new disk replaces the old one of the same name.
 #[derive(Debug, Serialize, Deserialize)]
 struct Replaced {
     name: String,
     seat: u64,
 }
 
-/// What came of one step.
+/// The results of one call to `pump`.
 #[derive(Default)]
 pub struct Progress {
     pub messages: Vec<(u64, Vec<u8>)>,
-    /// Commands that have come into force, with the number of the call where it was this process's own.
+    /// Commands that have taken effect, with the call's number if this process proposed it.
     pub applied: Vec<(Option<u64>, Command, Outcome)>,
     /// Rounds in which a majority has confirmed that this voter leads.
     pub confirmed: Vec<u64>,
@@ -49,6 +49,7 @@
     pub replaced: Vec<String>,
 }
 
+/// A Raft node with the fleet's state as its state machine.
 pub struct Agree {
     raw: RawNode<Log>,
     pub fleet: Fleet,
@@ -58,24 +59,24 @@
     incarnation: u64,
     rng: fastrand::Rng,
     election_ticks: usize,
-    /// The term and role that the time to an election was drawn for.
+    /// The term and role for which the election timeout was last drawn.
     drawn: Option<(u64, StateRole)>,
-    /// A voter has come that the snapshot does not know: it could not take it.
+    /// The voters have changed since the snapshot was taken: a new voter could not use it.
     outdated: bool,
-    /// Snapshots on their way, and for how many ticks.
+    /// Snapshots in transit, and for how many ticks.
     sent: BTreeMap<u64, usize>,
-    /// Names behind numbers that the agreed state does not tell yet.
+    /// Names of senders whose ids are not in the replicated state yet.
     met: BTreeMap<u64, String>,
-    /// Confirmed rounds that wait for the state to reach their index.
+    /// Confirmed rounds that wait until the state has reached their index.
     reads: Vec<(u64, u64)>,
 }
 
 fn bytes(message: &impl protobuf::Message) -> Vec<u8> {
-    // Only a message that lacks required fields fails, and these have none.
+    // Serialization fails only for missing required fields, and these messages have none.
     message.write_to_bytes().unwrap_or_default()
 }
 
-/// The first snapshot of a log: all voters of the founding begin with the same.
+/// The initial snapshot of the log, identical on all founding voters.
 pub fn founding(roster: &Roster) -> Batch {
     let mut snapshot = Snapshot::default();
     snapshot.mut_metadata().index = 1;
@@ -128,8 +129,8 @@
         Ok(agree)
     }
 
-    /// The engine draws the time to an election from a source nobody can seed: drawn again here, so that runs
-    /// can be played twice.
+    /// The library draws the election timeout from an unseeded source. It is drawn again here from the seed,
+    /// so that runs are reproducible.
     fn draw(&mut self) {
         let at = (self.raw.raft.term, self.raw.raft.state);
         if self.drawn != Some(at) {
@@ -147,7 +148,7 @@
         self.raw.raft.term
     }
 
-    /// Has the log, be it as one that is not yet among the voters.
+    /// Whether it has the log, even if it is not among the voters yet.
     pub fn started(&self) -> bool {
         self.raw.store().before() > 0
     }
@@ -172,8 +173,8 @@
         self.snapshots_again();
     }
 
-    /// The engine sends a snapshot once and then waits for word of it: one that got lost would be waited for for
-    /// good.
+    /// The library sends a snapshot once and then waits for a report on it. A lost one would be waited for
+    /// indefinitely, so it is reported as failed after a timeout.
     fn snapshots_again(&mut self) {
         let sent = self.raw.raft.prs().iter().filter(|(_, one)| one.state == ProgressState::Snapshot);
         let sent: Vec<u64> = sent.map(|(id, _)| *id).collect();
@@ -188,17 +189,17 @@
         }
     }
 
-    /// Takes a message in that a voter of this name has sent.
+    /// Handles a message from the voter of this name.
     pub fn step(&mut self, name: &str, message: &[u8]) {
         let Ok(message) = Message::parse_from_bytes(message) else { return };
-        // One for the disk that was here before this one.
+        // Ignores a message addressed to a previous disk.
         if message.to == self.seat {
             if self.fleet.seats.get(name) != Some(&message.from) {
-                // It must be answered before the log can tell whose number that is: a new disk knows nobody, and
-                // one that was away knows an old disk's.
+                // The sender must be answered before the log tells whose id that is: a new disk knows no
+                // voter, and one that was offline knows only the old disk's id.
                 self.met.insert(message.from, name.to_owned());
             }
-            // The engine refuses what only its own clock may say.
+            // The library rejects messages that only its own clock may generate.
             let _ = self.raw.step(message);
             self.draw();
         }
@@ -212,18 +213,18 @@
         self.raw.propose(origin, command).map_err(|wrong| wrong.to_string())
     }
 
-    /// Whether the lead can be confirmed yet: not before an entry of its own term is agreed, and what is asked
-    /// sooner is never answered.
+    /// Whether the leadership can be confirmed: not before an entry of the current term is committed. A
+    /// request made earlier would never be answered.
     pub fn confirms(&self) -> bool {
         self.leads() && self.raw.raft.commit_to_current_term()
     }
 
-    /// Asks a majority whether this voter still leads; the answer comes as a confirmed round.
+    /// Asks a majority whether this voter still leads. The answer is a confirmed round.
     pub fn confirm(&mut self, round: u64) {
         self.raw.read_index(round.to_be_bytes().to_vec());
     }
 
-    /// Hands the lead on before the process ends.
+    /// Transfers the leadership to the most up-to-date voter before the process ends.
     pub fn hand_on(&mut self) {
         let own = self.seat;
         let progress = self.raw.raft.prs();
@@ -233,8 +234,8 @@
         }
     }
 
-    /// A new disk under a voter's name: the old one goes and this comes, in one change of the voters that needs
-    /// a majority of both. Not while the old one is heard from.
+    /// Replaces a voter's old disk by a new one, in a single configuration change that needs a majority of
+    /// both configurations. Not while the old disk is still active.
     pub fn replace(&mut self, name: &str, seat: u64) {
         let Some(old) = self.fleet.seats.get(name).copied() else { return };
         let alive = self.raw.raft.prs().get(old).is_some_and(|one| one.recent_active);
@@ -255,12 +256,14 @@
         let _ = self.raw.propose_conf_change(Vec::new(), both);
     }
 
-    /// Writes what must be written, then says what may be said, until nothing is left to do.
+    /// Writes what must be persisted and then releases the messages that depend on it, until there is nothing
+    /// left to do.
     pub fn pump(&mut self, disk: &mut dyn Disk) -> Result<Progress, String> {
         let mut progress = Progress::default();
         while self.raw.has_ready() {
             let mut ready = self.raw.ready();
-            // A leader's messages may go before its own entries are kept: they count its copy only once it is.
+            // A leader may send these messages before its own entries are persisted: its own copy counts only
+            // once it is.
             say(&mut progress, ready.take_messages());
             let snapshot = ready.snapshot();
             let batch = Batch {
@@ -317,7 +320,7 @@
                     let outcome = self.fleet.apply(command.clone());
                     progress.applied.push((call, command, outcome));
                 }
-                // Changes are proposed in the second form only.
+                // Changes are only ever proposed as V2.
                 EntryType::EntryConfChange => {}
                 EntryType::EntryConfChangeV2 => {
                     if let Ok(change) = ConfChangeV2::parse_from_bytes(&entry.data) {
--- a/crates/fleet/src/found.rs
+++ b/crates/fleet/src/found.rs
@@ -1,24 +1,25 @@
-//! The founding: how voters with new disks come to begin one log together, once. A disk that is new after
-//! that never votes until those who have the log take it in. Called by `node`, free of I/O.
+//! Creation of the replicated log: how voters with new disks start one common log, exactly once. A disk added
+//! later does not vote until the existing voters admit it. Used by `node`; no I/O.
 
 use std::collections::BTreeMap;
 
 use crate::words::{Roster, Seat};
 
-/// What an unstarted voter may do next.
+/// What a voter without a log may do next.
 #[derive(Debug, PartialEq)]
 pub enum Next {
     Wait,
-    /// All are here and none has begun: bind ourselves to this, on disk, before anything else is said.
+    /// All voters are known and no log exists: commit to this roster on disk before sending anything else.
     Seal(Roster),
-    /// All have bound themselves to the same: the log begins.
+    /// All voters have committed to the same roster: the log starts.
     Start(Roster),
-    /// The log began without this disk: listen until those who have it take us in.
+    /// The log was created without this disk: listen until its voters admit it.
     Listen,
 }
 
-/// Voters as last heard. Until each of them is bound to one roster, in which every name has the number of
-/// the disk that said so, nobody votes: so none that lost its disk on the way can vote twice.
+/// The other voters' last reported states. Nobody votes until every voter has committed to one roster that
+/// gives each name the id of the disk that reported it. So a voter that loses its disk in between cannot vote
+/// twice.
 pub struct Founding {
     pub own: Seat,
     pub name: String,
@@ -56,7 +57,7 @@
                 let mut roster: Roster =
                     seats.iter().map(|(name, seat)| ((*name).clone(), seat.id)).collect();
                 roster.insert(self.name.clone(), self.own.id);
-                // One that is bound already leads, if it means us as we are.
+                // A voter that is already bound decides the roster, if that roster names our own disk.
                 match seats.iter().find_map(|(_, seat)| seat.roster.clone()) {
                     Some(sealed) if sealed != roster => Next::Wait,
                     _ => Next::Seal(roster),
--- a/crates/fleet/src/kept.rs
+++ b/crates/fleet/src/kept.rs
@@ -1,18 +1,19 @@
-//! What a process keeps on disk, as values: the engine's log and votes, the voter's seat, the version last
-//! taken. `agree` and `node` say what to write; the carrier's store writes and reads it.
+//! Data that a process persists, as values: the Raft log and votes, the voter's id, and the last accepted
+//! publication. `consensus` and `node` decide what to write; the store in `crankpick-carry` reads and writes
+//! it.
 
 use raft::eraftpb::{Entry, HardState, Snapshot};
 use raft::{GetEntriesContext, RaftState, Storage, StorageError};
 
 use crate::words::{Publication, Roster};
 
-/// Written whole or not at all, and for good before the write returns.
+/// Written atomically, and durable before the write returns.
 #[derive(Default, Clone, Debug)]
 pub struct Batch {
-    /// The log from the first of these on is replaced by them.
+    /// Replace the log from the first of these entries on.
     pub entries: Vec<Entry>,
     pub hard: Option<HardState>,
-    /// Entries up to its index are dropped.
+    /// Log entries up to its index are dropped.
     pub snapshot: Option<Snapshot>,
     pub roster: Option<Roster>,
     pub taken: Option<Publication>,
@@ -25,15 +26,16 @@
     }
 }
 
+/// A disk that writes batches.
 pub trait Disk {
     fn write(&mut self, batch: &Batch) -> Result<(), String>;
 }
 
-/// All of it, as read at a start.
+/// Everything on the disk, as read at start.
 #[derive(Default, Clone, Debug)]
 pub struct Kept {
-    /// The number that this disk was given when it was new: a voter under it never comes back with less than it
-    /// has promised, since a new disk gets another.
+    /// The id that this disk was given when it was new. A voter with this id never returns with less than it
+    /// has promised, because a new disk gets a new id.
     pub seat: u64,
     pub roster: Option<Roster>,
     pub log: Log,
@@ -56,12 +58,12 @@
     }
 }
 
-/// The engine's view of the disk, held in memory beside it.
+/// The Raft library's view of the disk, cached in memory.
 #[derive(Default, Clone, Debug)]
 pub struct Log {
     pub hard: HardState,
     pub snapshot: Snapshot,
-    /// From the snapshot's index on, without a gap.
+    /// Contiguous, starting after the snapshot's index.
     pub entries: Vec<Entry>,
 }
 
@@ -83,7 +85,7 @@
         }
     }
 
-    /// The index of the snapshot: 0 before the founding.
+    /// The index of the snapshot; 0 before the log has been created.
     pub fn before(&self) -> u64 {
         self.snapshot.get_metadata().index
     }
--- a/crates/fleet/src/lead.rs
+++ b/crates/fleet/src/lead.rs
@@ -1,5 +1,6 @@
-//! What the leader keeps beside the agreed state: who was heard of when, and from that which sessions have
-//! ended and which duties need another owner. None of it outlives the lead. Called by `node`.
+//! State that only the leader has, beside the replicated state: when each process was last heard from, and
+//! from that which sessions have ended and which duties need a new owner. It is discarded when the leadership
+//! is lost. Used by `node`.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,48 +10,51 @@
 use crate::words::{Desk, MemberStatus, Renewal, Renewed, Who, DUTIES, WORK};
 use crate::work::{Is, Machine, Stage, Terms};
 
-/// A session that has been silent for so many leases has ended.
+/// A session ends after this many leases without a renewal.
 const LAPSE: u64 = 3;
-/// Sessions that one entry of the log may bring or end.
+/// Maximum number of sessions begun or ended by one log entry.
 const MOST_JOINS: usize = 256;
 
+/// The last renewal received from a process.
 pub struct Heard<R> {
     pub renewal: Renewal,
     pub at_us: u64,
-    /// Where answers to it go.
+    /// Where answers go.
     pub route: R,
-    /// What it said last that it sees.
+    /// The last view that the process reported.
     pub view: Option<View>,
 }
 
+/// `R` is the type of a return route to a process.
 pub struct Lead<R> {
     pub name: String,
     pub term: u64,
-    /// When this voter learned that it leads: whatever its forerunners answered was heard before.
+    /// When this voter learned that it leads. Whatever earlier leaders answered was received before.
     since_us: u64,
-    /// Each process by itself: the two of an upgrade both count until one is gone.
+    /// By process: during an upgrade both processes count until one is gone.
     pub heard: BTreeMap<Who, Heard<R>>,
-    /// Renewals that wait for a majority to confirm the lead, with the round that will.
+    /// Renewals awaiting a majority's confirmation of the leadership, with the round that will confirm it.
     waiting: BTreeMap<Who, (u64, Heard<R>)>,
     round: u64,
-    /// When all sessions were last gone through.
+    /// When the sessions were last checked.
     looked_us: u64,
-    /// When the round that is out was asked for.
+    /// When the outstanding round was requested.
     asked_us: Option<u64>,
-    /// When the owner's last confirmed renewal came, or its grant.
+    /// When each owner's last confirmed renewal was received, or its grant took effect.
     renewed_us: BTreeMap<String, u64>,
-    /// Grants on their way. Until one has come into force, or the lead is lost, its duty's old owner is told
-    /// nothing that would lengthen its lease.
+    /// Duties with a proposed grant. Until it takes effect or the leadership is lost, the current owner is
+    /// told nothing that would extend its lease.
     granting: BTreeSet<String>,
     joining: BTreeSet<Who>,
     leaving: BTreeSet<Who>,
-    /// Processes that have said that they end, with all answered.
+    /// Processes that announced their exit and had answered all queries.
     parted: BTreeSet<Who>,
-    /// Since when this leader knows that a machine is leaving, by its revision: what a forerunner knew was earlier.
+    /// For each leaving machine, its revision and when this leader learned of it. Earlier leaders learned of
+    /// it earlier.
     leaving_us: BTreeMap<String, (u64, u64)>,
 }
 
-/// Of what one machine waits for, so many are told.
+/// Maximum number of reasons reported for one waiting machine.
 const MOST_WAITS: usize = 6;
 
 impl<R: Clone> Lead<R> {
@@ -62,7 +66,7 @@
             heard: BTreeMap::new(),
             waiting: BTreeMap::new(),
             looked_us: 0,
-            // No round of an earlier lead may answer for one of this.
+            // A round of an earlier term must not confirm one of this term.
             round: term << 24,
             asked_us: None,
             renewed_us: BTreeMap::new(),
@@ -74,6 +78,7 @@
         }
     }
 
+    /// Records a renewal; it is answered once a later round has been confirmed.
     pub fn hear(&mut self, now_us: u64, renewal: Renewal, route: R) {
         let who = renewal.who.clone();
         let view = renewal.seen.view.clone();
@@ -83,7 +88,7 @@
         self.waiting.insert(who, (self.round + 1, Heard { renewal, at_us: now_us, route, view: None }));
     }
 
-    /// The next round to ask a majority for, if any renewal waits for one.
+    /// The next round to request from a majority, if a renewal waits for one.
     pub fn round(&mut self, now_us: u64, times: &Times) -> Option<u64> {
         let patience = 2 * times.heartbeat_ticks as u64 * times.tick_us;
         let out = self.asked_us.is_some_and(|asked| now_us < asked + patience);
@@ -95,7 +100,8 @@
         Some(self.round)
     }
 
-    /// A majority has confirmed the lead after the round was asked for: what was heard before it is answered.
+    /// A majority has confirmed the leadership since this round was requested: answers the renewals received
+    /// before it.
     pub fn confirmed(&mut self, now_us: u64, round: u64, fleet: &Fleet, times: &Times) -> Vec<(R, Renewed)> {
         if round == self.round {
             self.asked_us = None;
@@ -111,7 +117,7 @@
             let current = fleet.sessions.get(&who.name);
             let superseded = current.is_some_and(|current| current.incarnation > who.incarnation);
             if !fleet.is_current(who) && !superseded {
-                // Its session has yet to begin: the next renewal finds it there.
+                // Its session has not begun yet; it will have by the next renewal.
                 continue;
             }
             let mut duties = Vec::new();
@@ -149,7 +155,7 @@
         answers
     }
 
-    /// What has come into force.
+    /// Handles a command that has taken effect.
     pub fn applied(&mut self, now_us: u64, command: &Command) {
         self.dropped(command);
         if let Command::Grant { duty, .. } = command {
@@ -157,7 +163,7 @@
         }
     }
 
-    /// It gave a duty up: until it says otherwise it wants none.
+    /// The process gave up a duty: it gets no other until it states that it is willing again.
     pub fn released(&mut self, who: &Who) {
         if let Some(heard) = self.heard.get_mut(who) {
             heard.renewal.willing = false;
@@ -168,16 +174,16 @@
         self.last_of(name).is_some()
     }
 
-    /// The newest process of a proxy.
+    /// The last renewal of a proxy's newest process.
     fn last_of(&self, name: &str) -> Option<&Heard<R>> {
         let who = |incarnation| Who { name: name.to_owned(), incarnation };
         self.heard.range(who(0)..=who(u64::MAX)).next_back().map(|(_, heard)| heard)
     }
 
-    /// What to propose now; `dropped` must be told of each that could not be.
+    /// The commands to propose now. `dropped` must be called for each that could not be proposed.
     pub fn propose(&mut self, now_us: u64, fleet: &Fleet, times: &Times) -> Vec<Command> {
         let mut commands = Vec::new();
-        // Hundreds of sessions are gone through now and then, not with each word.
+        // There can be hundreds of sessions, so they are checked periodically and not on each message.
         if now_us >= self.looked_us + times.tick_us / 2 {
             self.looked_us = now_us;
             commands.extend(self.sessions(now_us, fleet, times));
@@ -188,7 +194,7 @@
         commands
     }
 
-    /// Sessions that have begun, and those that have ended.
+    /// Commands for sessions that have begun or ended.
     fn sessions(&mut self, now_us: u64, fleet: &Fleet, times: &Times) -> Vec<Command> {
         let mut commands = Vec::new();
         self.heard.retain(|_, heard| now_us <= heard.at_us + LAPSE * times.lease_us);
@@ -223,7 +229,7 @@
         commands
     }
 
-    /// A process has ended, and said so.
+    /// A process has announced its exit.
     pub fn parted(&mut self, who: Who) {
         self.heard.remove(&who);
         self.waiting.remove(&who);
@@ -231,7 +237,7 @@
         self.looked_us = 0;
     }
 
-    /// Notes since when each machine is known to leave.
+    /// Records since when each leaving machine is known.
     fn leavers(&mut self, now_us: u64, fleet: &Fleet) {
         let all = fleet.work.open().flat_map(|(_, plan)| &plan.machines);
         let all: BTreeMap<&String, u64> = all
@@ -244,7 +250,7 @@
         }
     }
 
-    /// What a machine that leaves still waits for: nothing once no proxy can send there any more.
+    /// What a leaving machine still waits for; empty once no proxy can send to it any more.
     pub fn waits(
         &self,
         now_us: u64,
@@ -262,7 +268,8 @@
         }
         let shut = |terms: &Terms| terms.drains && now_us >= since_us + times.lease_us + terms.longest_us;
         let version = machine.version;
-        // It acts on it, has nothing in hand there, and can't forget it over a restart that nobody answers.
+        // It has applied the version, has no queries in progress there, and cannot lose the version over a
+        // restart without contact to the fleet.
         let clear = |renewal: &Renewal| {
             let kept = renewal.terms.waits || renewal.kept >= version;
             renewal.acted >= version && kept && !renewal.seen.busy.contains(id)
@@ -288,7 +295,7 @@
             }
             waits.push(heard.map_or_else(|| format!("{name} was not heard of"), why));
         }
-        // Older processes of an upgrade, and those whose session has yet to begin.
+        // Older processes of an upgrade, and processes whose session has not begun yet.
         for (who, heard) in self.heard.iter().filter(|(who, _)| !fleet.is_current(who)) {
             if !clear(&heard.renewal) && !shut(&heard.renewal.terms) {
                 waits.push(format!("{} ({who})", why(&heard.renewal)));
@@ -325,7 +332,7 @@
         }
     }
 
-    /// What all proxies see, and how far each machine is.
+    /// The aggregated observations of all proxies, and the progress of each machine.
     pub fn sight(&mut self, now_us: u64, fleet: &Fleet, times: &Times) -> Sight {
         self.leavers(now_us, fleet);
         let fresh = times.lease_us + times.session_us;
@@ -364,7 +371,7 @@
         sight
     }
 
-    /// No longer on its way: in force, or not proposed after all and to be tried again.
+    /// A command is no longer pending: it took effect, or it was not proposed and is to be tried again.
     pub fn dropped(&mut self, command: &Command) {
         match command {
             Command::Join(all) => all.iter().for_each(|(who, _)| {
@@ -380,8 +387,9 @@
         }
     }
 
-    /// Nobody else gets a duty before its owner's lease has run out by this clock too, counted from when its last
-    /// renewal was heard, which is after it was sent, or from the beginning of the lead.
+    /// Grants a duty to a new owner once the old owner's lease has expired by this clock too. It is counted
+    /// from when the owner's last renewal was received, which is after it was sent, or from the start of the
+    /// leadership.
     fn grant(&mut self, now_us: u64, duty: &str, fleet: &Fleet, times: &Times) -> Option<Command> {
         if self.granting.contains(duty) {
             return None;
@@ -398,8 +406,9 @@
         Some(Command::Grant { duty: duty.to_owned(), token: state.token + 1, to })
     }
 
-    /// A voter before others, since it hears of changes first; another than the leader, so that one death doesn't
-    /// take both; another than the last owner, whose lease ran out; then who owns least.
+    /// Prefers a voter, since it learns of changes first; then another process than the leader, so that one
+    /// failure does not affect both; then another than the last owner, whose lease expired; then the one that
+    /// owns the fewest duties.
     fn candidate(&self, now_us: u64, last: Option<&Who>, fleet: &Fleet, times: &Times) -> Option<Who> {
         let fresh = times.session_us + times.session_us / 2 + 4 * times.tick_us;
         let fit = self.heard.values().filter(|heard| {
@@ -415,7 +424,7 @@
         best.map(|heard| heard.renewal.who.clone())
     }
 
-    /// Whoever is to hear of a change at once.
+    /// The route to a process that must learn of a change at once.
     pub fn route(&self, who: &Who) -> Option<&R> {
         self.heard.get(who).map(|heard| &heard.route)
     }
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -1,26 +1,27 @@
-//! Leases as owners and receivers see them: how long an owner may believe it is one, and the fence that
-//! refuses an old one. Called by `session` on the owner's and the receiver's side.
+//! Leases from the side of owners and receivers: how long an owner may rely on its lease, and the fence that
+//! rejects an outdated owner. Used by `session` for both.
 
 use std::collections::BTreeMap;
 
-/// The times that all processes of a fleet agree on by their file, in microseconds.
+/// The intervals on which all processes of a fleet agree by their fleet file, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Times {
     pub lease_us: u64,
-    /// How often an owner renews.
+    /// Renewal interval of a process that owns a duty.
     pub renew_us: u64,
-    /// How often all others do.
+    /// Renewal interval of all other processes.
     pub session_us: u64,
-    /// What the owner's lease is shorter by than the fleet's view of it, against clocks of unlike pace.
+    /// How much shorter the owner's lease is by its own clock than by the leader's, to allow for clock drift.
     pub margin_us: u64,
-    /// A step of the engine's clock, and how many of them make a heartbeat and an election.
+    /// The tick of the Raft library, and the number of ticks in a heartbeat interval and in an election
+    /// timeout.
     pub tick_us: u64,
     pub heartbeat_ticks: usize,
     pub election_ticks: usize,
 }
 
 impl Times {
-    /// A lease of 3 s, the rest in proportion.
+    /// Derives all intervals from the lease.
     pub fn new(lease_us: u64) -> Self {
         Times {
             lease_us,
@@ -34,26 +35,26 @@
     }
 }
 
-/// A duty that this process holds.
+/// A lease on a duty that this process holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Held {
     pub token: u64,
     pub from_us: u64,
-    /// From then on it does nothing in the duty's name.
+    /// From then on, this process must not act as the owner.
     pub until_us: u64,
 }
 
-/// What one process holds, by its own clock, which must run on while the machine sleeps.
+/// The leases that one process holds, by its own clock. That clock must not stop while the machine sleeps.
 #[derive(Clone, Default, Debug, PartialEq, Eq, Hash)]
 pub struct Holding {
     held: BTreeMap<String, Held>,
-    /// Tokens let go of: an answer that was on its way then gives none of them back.
+    /// Tokens given up. An answer still in transit does not restore them.
     let_go: BTreeMap<String, u64>,
 }
 
 impl Holding {
-    /// The fleet's answer to a renewal sent at `sent_us`. The lease counts from then, since the fleet may have
-    /// heard it at once and the answer may have been long on its way.
+    /// Handles the leader's answer to a renewal sent at `sent_us`. The lease counts from the sending, since
+    /// the leader may have received the renewal at once and the answer may have been delayed.
     pub fn renewed(
         &mut self,
         now_us: u64,
@@ -77,17 +78,17 @@
         Some(*held)
     }
 
-    /// Whether this process has given the duty up under this token.
+    /// Whether this process has given up the duty under this token or a later one.
     pub fn has_let_go(&self, duty: &str, token: u64) -> bool {
         self.let_go.get(duty).is_some_and(|gone| *gone >= token)
     }
 
-    /// The token, while the lease lasts: to be asked at the moment of use, not before.
+    /// The token, while the lease is valid. To be checked at the moment of use, not before.
     pub fn token(&self, now_us: u64, duty: &str) -> Option<u64> {
         self.held.get(duty).filter(|held| now_us < held.until_us).map(|held| held.token)
     }
 
-    /// What has run out since this was last asked.
+    /// Removes and returns the leases that have expired.
     pub fn lapsed(&mut self, now_us: u64) -> Vec<(String, u64)> {
         let mut lapsed = Vec::new();
         self.held.retain(|duty, held| {
@@ -100,7 +101,7 @@
         lapsed
     }
 
-    /// Gives the duty up for good under this token; false where it was not held.
+    /// Gives up the duty for good under this token. Returns false if it was not held.
     pub fn let_go(&mut self, duty: &str, token: u64) -> bool {
         let gone = self.let_go.entry(duty.to_owned()).or_default();
         *gone = (*gone).max(token);
@@ -116,14 +117,14 @@
     }
 }
 
-/// The highest token that a receiver has let through for one duty.
+/// The highest token that a receiver has accepted for one duty.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fence {
     pub seen: u64,
 }
 
 impl Fence {
-    /// Lets an owner's word through, or says which token stands against it.
+    /// Accepts an owner's token, or returns the higher one that was seen before.
     pub fn pass(&mut self, token: u64) -> Result<(), u64> {
         if token < self.seen {
             return Err(self.seen);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,6 +1,7 @@
-//! What a fleet of proxies decides together: who is there, who owns which duty, which backends are out for
-//! all. No I/O and no clock of its own: time, words and disk are arguments. Called by `crankpick-carry`,
-//! which brings sockets and disk, and by tests that bring faults in virtual time.
+//! Coordination state of a fleet of proxies: sessions, duties that have a single owner, and the set of
+//! backends that are out of service fleet-wide. The crate does no I/O and reads no clock: time, messages and
+//! disk are arguments. `crankpick-carry` drives it with sockets and a disk; tests drive it with injected
+//! faults in virtual time.
 
 pub mod agree;
 pub mod found;
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -1,16 +1,16 @@
-//! One process's whole part in the fleet, as a state machine without I/O or clock: messages, calls and time go in,
-//! outputs come out, and `pump` writes what must be on disk before they do. Called by `crankpick-carry` with what its
-//! sockets and its clock say, and by tests in virtual time.
+//! One process's part in the fleet, as a state machine without I/O or a clock: messages, calls and time are
+//! inputs, and `pump` persists what must be on disk before outputs are released. Driven by `crankpick-carry`
+//! with its sockets and clock, and by tests in virtual time.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `messages` | who sent a message, and which part it is for |
+//! | `messages` | identifies the sender of a message and dispatches it |
 //! | `renewal` | the session: heartbeats to the leader, their answers, leases |
-//! | `calls`, `requests` | calls of this process to the fleet; those of others, answered by the leader |
-//! | `voter`, `leadership` | founding and agreement among the voters; what their leader does |
-//! | `publication` | which backends are out, published by one owner |
-//! | `maintenance` | machines out for work, decided by one owner |
-//! | `persistence` | the disk, and its failure |
+//! | `calls`, `requests` | calls of this process to the fleet; calls of others, answered by the leader |
+//! | `voter`, `leadership` | log creation and consensus among the voters; the duties of their leader |
+//! | `publication` | the set of backends out of service, published by its owner |
+//! | `maintenance` | maintenance of machines, scheduled by its owner |
+//! | `persistence` | the disk and its failures |
 //! | `output` | what the host is to do |
 
 mod calls;
@@ -43,18 +43,18 @@
 use requests::Requester;
 use voter::Voter;
 
-/// What a process is by its file.
+/// A process's configuration, from the fleet file.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub fleet: String,
     pub name: String,
-    /// The voters' names, this process's own among them if it is one.
+    /// The voters' names, including this process's own if it is one.
     pub voters: Vec<String>,
     pub times: Times,
     pub terms: Terms,
 }
 
-/// One process of the fleet. All times are in microseconds by this process's own steady clock.
+/// One process of the fleet. All times are in microseconds by this process's own monotonic clock.
 pub struct Node {
     plan: Plan,
     /// This process's own name and incarnation.
@@ -63,35 +63,35 @@
     kept: Kept,
     pub session: Session,
     voter: Option<Voter>,
-    /// While this process leads the voters.
+    /// Set while this process leads the voters.
     leader: Option<Lead<Route>>,
-    /// Why the disk takes no writes, where it doesn't.
+    /// Why the disk accepts no writes, if it does not.
     disk_error: Option<String>,
-    /// The voter that the session is with, in the plan's order.
+    /// Index in `Plan::voters` of the voter that the session is with.
     voter_index: usize,
     /// By accepted connection.
     peers: BTreeMap<u64, Peer>,
     calls: Calls,
-    /// As leader: commands of requesters that have yet to be applied, by number.
+    /// As leader: the requesters of commands that have not been applied yet, by call number.
     proposals: BTreeMap<u64, Requester>,
     outputs: VecDeque<Output>,
-    /// Taken, and written with the next pump.
+    /// Accepted, to be persisted by the next `pump`.
     unwritten: Option<Publication>,
     exiting: bool,
     next_hello_us: u64,
-    /// While this process owns the work.
+    /// Set while this process owns the work duty.
     work_owner: Option<Owner>,
     reviewed_us: u64,
-    /// Unix time, as last told: for hours in which nothing goes, and for the record.
+    /// Unix time as last set by the host: for quiet hours and for timestamps in the log.
     pub wall_us: u64,
-    /// Until when the proxy may send, as it was last told.
+    /// Until when the proxy may send, as last reported to it.
     send_until_us: u64,
-    /// Whether the proxy is to be drained, as it was last told.
+    /// Whether the proxy is to be drained, as last reported to it.
     draining: bool,
 }
 
 impl Node {
-    /// A process that starts now, with what its disk holds. `seed` draws the times to an election.
+    /// A process that starts now, with the contents of its disk. `seed` determines the election timeouts.
     pub fn new(now_us: u64, plan: Plan, incarnation: u64, kept: Kept, seed: u64) -> Self {
         let process = Who { name: plan.name.clone(), incarnation };
         let mut session = Session::new(process.clone(), plan.times, kept.taken.clone());
@@ -128,14 +128,14 @@
         node
     }
 
-    /// Takes up what the disk holds.
+    /// Takes over the contents of the disk.
     fn load(&mut self, now_us: u64, kept: Kept) {
         self.kept = kept;
         self.session.kept = self.kept.taken.as_ref().map_or(0, |taken| taken.version);
         self.start_voter(now_us);
     }
 
-    /// To be called once each tick of the plan's times, and after what came in.
+    /// To be called at every tick (`Times::tick_us`) and after inputs.
     pub fn tick(&mut self, now_us: u64) {
         for (duty, token) in self.session.holding.lapsed(now_us) {
             self.event(Event::LeaseExpired { duty, token });
@@ -148,7 +148,8 @@
         self.retry_calls(now_us);
     }
 
-    /// Said again from time to time: one that was lost would leave a voter taken for none, or the reverse.
+    /// Repeated periodically: if a hello were lost, a voter would be mistaken for a process that is none, or
+    /// the reverse.
     fn repeat_hello(&mut self, now_us: u64) {
         if now_us >= self.next_hello_us {
             self.next_hello_us = now_us + self.plan.times.lease_us;
@@ -157,7 +158,7 @@
         }
     }
 
-    /// What is to be done now, in order.
+    /// The pending outputs, in order.
     pub fn take_outputs(&mut self) -> impl Iterator<Item = Output> + '_ {
         self.outputs.drain(..)
     }
@@ -170,10 +171,10 @@
         self.outputs.push_back(Output::Send(link, message));
     }
 
-    // What is known of this process.
+    // Properties of this process.
 
-    /// The first message on each connection. A voter is who has that part running: the newer process of an upgrade
-    /// goes by the same name and has not.
+    /// The first message on each connection. Only a process whose voter is running counts as a voter: during
+    /// an upgrade, the newer process has the same name but no running voter.
     pub fn hello(&self) -> Word {
         let voter = self.voter.is_some();
         Word::Hello { fleet: self.plan.fleet.clone(), who: self.process.clone(), voter }
@@ -184,7 +185,7 @@
         self.process.to_string()
     }
 
-    /// Has the log, and is one of those who vote on it.
+    /// Whether it has the log and is a voting member.
     pub fn is_voter(&self) -> bool {
         self.agreement().is_some_and(|agreement| agreement.started() && agreement.votes())
     }
@@ -193,17 +194,17 @@
         self.leader.is_some()
     }
 
-    /// The agreed state, where this process votes.
+    /// The replicated state, if this process is a voter.
     pub fn fleet(&self) -> Option<&Fleet> {
         self.agreement().filter(|agreement| agreement.started()).map(|agreement| &agreement.fleet)
     }
 
-    /// Why the disk takes no writes, where it doesn't.
+    /// Why the disk accepts no writes, if it does not.
     pub fn disk_error(&self) -> Option<&str> {
         self.disk_error.as_deref()
     }
 
-    /// The state of this process, in a line for whoever looks for a fault.
+    /// The state of this process in one line, for diagnostics.
     pub fn describe(&self) -> String {
         let agreement = self.agreement().map(|agreement| {
             let (term, leader) = (agreement.term(), agreement.leader().unwrap_or("nobody"));
@@ -213,20 +214,21 @@
         format!("seat {}, {agreement:?}, version {taken}, led by {:?}", self.kept.seat, self.session.leader)
     }
 
-    // What the proxy tells.
+    // Inputs from the proxy.
 
-    /// The proxy has told its module of this version; at these of the backends out it still has something in hand.
+    /// The proxy's dispatch has applied this version; at `busy`, of the backends that are out, it still has
+    /// queries in progress.
     pub fn version_applied(&mut self, now_us: u64, version: u64, busy: BTreeSet<String>) {
         self.session.acts(now_us, version, busy);
         self.report_send_right();
     }
 
-    /// What the proxy sees of its backends.
+    /// The proxy's observations of its backends.
     pub fn set_view(&mut self, view: View) {
         self.session.sees(view);
     }
 
-    /// Whether the proxy has nothing in hand.
+    /// Whether the proxy has no queries in progress.
     pub fn set_idle(&mut self, now_us: u64, idle: bool) {
         if self.session.empty != idle {
             self.session.empty = idle;
@@ -234,13 +236,13 @@
         }
     }
 
-    /// The longest that an execution of the proxy may take.
+    /// The longest that one of the proxy's executions may take.
     pub fn set_longest_execution(&mut self, now_us: u64, longest_us: u64) {
         self.session.terms.longest_us = longest_us;
         self.session.hurry(now_us);
     }
 
-    /// Whether this process would own duties: not while it is drained or exits.
+    /// Whether this process accepts duties: not while it is drained or exiting.
     pub fn set_willing(&mut self, now_us: u64, willing: bool) {
         self.session.willing = willing && !self.exiting;
         if !self.session.willing {
@@ -250,20 +252,20 @@
         self.session.hurry(now_us);
     }
 
-    /// The process is about to exit: duties and the lead go to others at once.
+    /// The process is about to exit: hands over its duties and the leadership at once.
     pub fn prepare_exit(&mut self, now_us: u64) {
         self.exiting = true;
         self.set_willing(now_us, false);
         self.transfer_leadership();
     }
 
-    /// The process exits now, and has answered all that it took.
+    /// The process exits now and has answered all queries that it accepted.
     pub fn announce_exit(&mut self, now_us: u64) {
         let process = self.process.clone();
         self.process_exits(now_us, process);
     }
 
-    /// A process exits: noted by the leader, passed on to it by others.
+    /// A process exits: recorded if this is the leader, forwarded to the leader otherwise.
     fn process_exits(&mut self, now_us: u64, process: Who) {
         if let Some(leader) = &mut self.leader {
             leader.parted(process);
@@ -273,7 +275,7 @@
         }
     }
 
-    /// Tells the proxy until when it may send, where that has changed.
+    /// Reports to the proxy until when it may send, if that has changed.
     fn report_send_right(&mut self) {
         let send_until_us = self.session.right_until();
         if send_until_us != self.send_until_us {
@@ -283,7 +285,7 @@
     }
 }
 
-/// Spreads processes over the voters by name, so that a restart finds the same one.
+/// Distributes processes over the voters by name, so that a restarted process chooses the same one.
 fn spread(name: &str) -> usize {
     name.bytes().fold(0, |sum: usize, byte| sum.wrapping_mul(31).wrapping_add(byte as usize))
 }
--- a/crates/fleet/src/node/calls.rs
+++ b/crates/fleet/src/node/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of this process to the fleet: checked, numbered, repeated until they are answered or their time is over.
+//! Calls of this process to the fleet: validated, numbered, and retried until they are answered or time out.
 
 use std::collections::BTreeMap;
 
@@ -8,11 +8,12 @@
 use super::requests::Requester;
 use super::{Node, Output, Route};
 
-/// How often a call that is not answered is made again.
+/// Retry interval of an unanswered call.
 pub(super) const RETRY_US: u64 = 300_000;
-/// Calls in hand, this process's own and others' that the leader has yet to answer.
+/// Maximum number of calls in progress: this process's own, and those of others that the leader has not
+/// answered yet.
 pub(super) const MOST_CALLS: usize = 1_024;
-/// Backend ids in one call.
+/// Maximum number of backend ids in one call.
 const MOST_IDS: usize = 1_000;
 
 const TIMED_OUT: &str = "the fleet did not answer in time: it may be agreed all the same";
@@ -23,7 +24,7 @@
     retry_us: u64,
 }
 
-/// The calls that have yet to be answered, by number.
+/// Unanswered calls, by number.
 #[derive(Default)]
 pub(super) struct Calls {
     pending: BTreeMap<u64, Call>,
@@ -31,7 +32,7 @@
 }
 
 impl Calls {
-    /// A number never given before. Numbers begin at 1.
+    /// A new, unique number. Numbers start at 1.
     pub(super) fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
@@ -46,7 +47,7 @@
         Ok(number)
     }
 
-    /// Whether the call was still waiting for its answer.
+    /// Removes the call. Returns whether it was still waiting for its answer.
     fn complete(&mut self, number: u64) -> bool {
         self.pending.remove(&number).is_some()
     }
@@ -60,7 +61,7 @@
         expired
     }
 
-    /// The calls to be made now; each is due again a retry later.
+    /// The calls to be made now; each is scheduled for its next retry.
     fn take_due(&mut self, now_us: u64) -> Vec<(u64, Ask)> {
         let due = self.pending.iter_mut().filter(|(_, call)| now_us >= call.retry_us);
         due.map(|(number, call)| {
@@ -72,7 +73,8 @@
 }
 
 impl Node {
-    /// Asks the fleet; the answer comes as `Output::Answer` under the number returned, within the time given.
+    /// Sends a request to the fleet. The answer arrives as `Output::Answer` with the returned number, within
+    /// the given time.
     pub fn ask(&mut self, now_us: u64, ask: Ask, patience_us: u64) -> Result<u64, String> {
         check_ids(&ask)?;
         if matches!(&ask, Ask::Command(command) if !from_operator(command)) {
@@ -87,7 +89,7 @@
         Ok(number)
     }
 
-    /// Gives up the calls whose time is over and makes those that are due.
+    /// Fails the calls that have timed out and makes those that are due.
     pub(super) fn retry_calls(&mut self, now_us: u64) {
         for number in self.calls.take_expired(now_us) {
             self.outputs.push_back(Output::Answer(number, Told::NotNow(TIMED_OUT.into())));
@@ -108,8 +110,8 @@
         }
     }
 
-    /// The fleet's answer to a call of this process. What only says "not now" is asked again until the call's time
-    /// is over.
+    /// Handles the fleet's answer to a call of this process. A temporary failure (`NotNow`) is retried until
+    /// the call times out.
     pub(super) fn complete_call(&mut self, number: u64, told: Told) {
         if !matches!(told, Told::NotNow(_)) && self.calls.complete(number) {
             self.outputs.push_back(Output::Answer(number, told));
@@ -128,7 +130,7 @@
     Ok(())
 }
 
-/// Commands that operators may give; all others are the leader's and owners'.
+/// Whether operators may give this command; all others are reserved to the leader and to duty owners.
 fn from_operator(command: &Command) -> bool {
     matches!(command, Command::Outs { .. } | Command::Work { .. })
 }
--- a/crates/fleet/src/node/leadership.rs
+++ b/crates/fleet/src/node/leadership.rs
@@ -1,5 +1,5 @@
-//! What the leader of the voters does: it proposes commands, follows what comes of them, and answers renewals once a
-//! majority has confirmed that it still leads.
+//! The leader's tasks: it proposes commands, handles their outcomes, and answers renewals once a majority has
+//! confirmed that it still leads.
 
 use crate::lead::Lead;
 use crate::state::{Command, Outcome};
@@ -7,13 +7,13 @@
 
 use super::{Event, Node, Route};
 
-/// The call number of a proposal that nobody waits for: calls are numbered from 1 on.
+/// The call number of a proposal without a requester: real calls are numbered from 1.
 const NO_CALL: u64 = 0;
 
 const LEADERSHIP_LOST: &str = "the lead was lost: it may be agreed all the same";
 
 impl Node {
-    /// Follows the agreement: whether this voter leads now, and in which term.
+    /// Follows the consensus: whether this voter leads now, and in which term.
     pub(super) fn update_leadership(&mut self, now_us: u64) {
         let Some(agreement) = self.agreement() else { return };
         let (leads, term) = (agreement.leads(), agreement.term());
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Hands the lead to another voter, where this one has it.
+    /// Transfers the leadership to another voter, if this one has it.
     pub(super) fn transfer_leadership(&mut self) {
         if let Some(agreement) = self.agreement_mut().filter(|agreement| agreement.leads()) {
             agreement.hand_on();
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Asks the voters to confirm the lead and proposes what is due; whether there was anything.
+    /// Requests confirmation of the leadership and proposes what is due. Returns whether there was anything
+    /// to do.
     pub(super) fn propose_as_leader(&mut self, now_us: u64) -> bool {
         let agreement = self.voter.as_mut().and_then(|voter| voter.agreement.as_mut());
         let (Some(agreement), Some(leader)) = (agreement, &mut self.leader) else { return false };
@@ -66,7 +67,7 @@
         advanced
     }
 
-    /// Whether the log took the proposal.
+    /// Proposes a command. Returns whether the log accepted it.
     pub(super) fn propose(&mut self, call: u64, command: &Command) -> bool {
         let proposed = self.agreement_mut().map(|agreement| agreement.propose(call, command));
         let accepted = matches!(proposed, Some(Ok(())));
@@ -78,7 +79,7 @@
         accepted
     }
 
-    /// An owner gives a duty up: proposed by the leader, passed on to it by others.
+    /// An owner gives up a duty: proposed by the leader, forwarded to the leader by others.
     pub(super) fn release(&mut self, duty: String, token: u64, owner: Who) {
         if let Some(leader) = &mut self.leader {
             leader.released(&owner);
@@ -88,7 +89,7 @@
         }
     }
 
-    /// A command has come into force: those concerned hear of it at once, and whoever asked gets the outcome.
+    /// A command has taken effect: notifies the processes concerned and answers the requester.
     pub(super) fn command_applied(
         &mut self,
         now_us: u64,
@@ -123,7 +124,7 @@
         }
     }
 
-    /// The processes that a command concerns, which should not wait for their next renewal to hear of it.
+    /// The processes that a command concerns and that should not wait for their next renewal to learn of it.
     fn concerned_by(&self, command: &Command, outcome: &Outcome) -> Vec<Who> {
         let owners = |duties: &[&str]| duties.iter().filter_map(|duty| self.owner_of(duty)).collect();
         match (command, outcome) {
@@ -147,7 +148,7 @@
         self.agreement()?.fleet.duties.get(duty)?.owner.clone()
     }
 
-    /// The process that has a proxy's session.
+    /// The process that holds a proxy's session.
     fn session_of(&self, name: &str) -> Option<Who> {
         let incarnation = self.agreement()?.fleet.sessions.get(name)?.incarnation;
         Some(Who { name: name.to_owned(), incarnation })
@@ -165,7 +166,7 @@
         }
     }
 
-    /// A majority has confirmed the lead: the renewals that waited for this round are answered.
+    /// A majority has confirmed the leadership: answers the renewals that waited for this round.
     pub(super) fn leadership_confirmed(&mut self, now_us: u64, round: u64) {
         let agreement = self.voter.as_ref().and_then(|voter| voter.agreement.as_ref());
         let (Some(agreement), Some(leader)) = (agreement, &mut self.leader) else { return };
--- a/crates/fleet/src/node/maintenance.rs
+++ b/crates/fleet/src/node/maintenance.rs
@@ -1,5 +1,5 @@
-//! Work on machines, while this process owns that duty: the next steps of the plans, and the calls to the maintenance
-//! system.
+//! Maintenance scheduling, while this process owns the work duty: the next steps of the plans, and the calls
+//! to the maintenance system.
 
 use std::collections::BTreeSet;
 
@@ -12,7 +12,7 @@
 use super::calls::RETRY_US;
 use super::{Event, Node, Output, Plan, WorkStart};
 
-/// How often an owner of the work looks at it though nothing was heard.
+/// How often the owner reviews the plans when nothing has changed.
 const REVIEW_INTERVAL_US: u64 = 100_000;
 
 impl Node {
@@ -22,7 +22,8 @@
         }
     }
 
-    /// Takes the next steps of all plans, where this process owns the work and has its state from the leader.
+    /// Takes the next steps of all plans, if this process owns the work duty and has received the plans from
+    /// the leader.
     pub(super) fn do_work(&mut self, now_us: u64) {
         self.reviewed_us = now_us;
         let Some(token) = self.session.holding.token(now_us, WORK) else {
@@ -48,12 +49,12 @@
         }
     }
 
-    /// Refused or lost, steps are settled anew from what is agreed by then.
+    /// Submits steps. If they are refused or lost, new ones are decided from the state then committed.
     fn take_steps(&mut self, now_us: u64, steps: Vec<Step>) {
         let _ = self.call(now_us, Ask::Command(Command::Steps(steps)), 2 * RETRY_US);
     }
 
-    /// The maintenance system's answer to `Output::StartWork`.
+    /// Handles the maintenance system's answer to `Output::StartWork`.
     pub fn work_start_answered(&mut self, now_us: u64, call: &Begin, answer: WorkStart) {
         match answer {
             WorkStart::Started => {
@@ -81,7 +82,7 @@
 }
 
 impl Plan {
-    /// All that an owner of the work decides by.
+    /// The scheduler's input.
     fn before<'a>(
         &'a self,
         now_us: u64,
--- a/crates/fleet/src/node/messages.rs
+++ b/crates/fleet/src/node/messages.rs
@@ -1,10 +1,11 @@
-//! Messages that come in: who sent them, which part of the node they are for, and the way back.
+//! Incoming messages: identifies the sender, dispatches to the part concerned, and determines the return
+//! route.
 
 use crate::words::{Who, Word};
 
 use super::{Event, Link, Node, Output};
 
-/// The process at the other end of an accepted connection, as it introduced itself.
+/// The process at the other end of an accepted connection, as introduced by its hello.
 pub(super) struct Peer {
     process: Who,
     voter: bool,
@@ -18,7 +19,7 @@
 }
 
 impl Node {
-    /// Takes a message. One from a connection that has not introduced itself is dropped.
+    /// Handles a message. A message from a connection without a preceding hello is dropped.
     pub fn receive(&mut self, now_us: u64, link: Link, message: Word) {
         if let (Link::Conn(conn), Word::Hello { fleet, who, voter }) = (&link, &message) {
             self.introduce(*conn, fleet, who, *voter);
@@ -48,8 +49,8 @@
     }
 
     fn dispatch(&mut self, now_us: u64, sender: Sender, message: Word) {
-        // One hop: what others have passed on is not passed on again, or two voters that each take the other for the
-        // leader would do so for ever.
+        // Messages are forwarded at most once. Otherwise two voters that each take the other for the leader
+        // would forward a message to each other forever.
         let direct = |process: &Who| process.name == sender.name;
         match message {
             Word::Hello { .. } | Word::Beat => {}
@@ -74,7 +75,7 @@
             Word::Stale { duty, token, .. } => self.lose_duty(&duty, token),
             Word::Away => self.next_session_voter(now_us),
             Word::Part(process) => {
-                // Nobody announces another's exit but the voter that passes it on.
+                // A process announces only its own exit; a voter may forward the announcement to the leader.
                 if direct(&process) || sender.voter && self.leader.is_some() {
                     self.process_exits(now_us, process);
                 }
@@ -82,14 +83,15 @@
         }
     }
 
-    /// Told by a receiver or a maintenance system that the lease is another's: that stands, whatever the clock says.
+    /// A receiver or a maintenance system reports that the lease belongs to another process. That overrides
+    /// the local clock.
     pub(super) fn lose_duty(&mut self, duty: &str, token: u64) {
         if self.session.holding.let_go(duty, token) {
             self.report_released(vec![(duty.to_owned(), token)]);
         }
     }
 
-    /// A connection is gone.
+    /// A connection has closed.
     pub fn connection_closed(&mut self, now_us: u64, link: &Link) {
         match link {
             Link::Conn(conn) => {
@@ -103,12 +105,13 @@
         }
     }
 
-    /// The connections of processes that aren't voters, lowest number first.
+    /// Connections from processes that are not voters, in ascending order.
     pub(super) fn session_connections(&self) -> Vec<u64> {
         self.peers.iter().filter(|(_, peer)| !peer.voter).map(|(conn, _)| *conn).collect()
     }
 
-    /// To the process that this one has a connection from; the latest one, and one that isn't a voter's first.
+    /// Forwards to the process over a connection accepted from it: preferably one that is not a voter's, and
+    /// the latest.
     fn pass_on(&mut self, process: Who, message: Word) {
         let mut connections = self.peers.iter().rev().filter(|(_, peer)| peer.process == process);
         let latest = connections.clone().next();
@@ -118,7 +121,7 @@
         }
     }
 
-    /// The way back to the sender of a message: to a voter over this process's own connection.
+    /// The return route to a message's sender: to a voter, over the connection opened by this process.
     pub(super) fn return_link(&self, sender: &Sender) -> Link {
         match sender.voter && sender.name != self.process.name {
             true => Link::Voter(sender.name.clone()),
--- a/crates/fleet/src/node/output.rs
+++ b/crates/fleet/src/node/output.rs
@@ -1,10 +1,10 @@
-//! What a node hands back to its host: messages to send, changes for the proxy, and events for the log.
+//! Outputs of a node to its host: messages to send, changes for the proxy, and events for the log.
 
 use crate::order::Begin;
 use crate::words::{Publication, Told, Word};
 use crate::work::Step;
 
-/// A way to another process: a connection that this one opened to a voter, or one that it accepted.
+/// A route to another process: a connection opened to a voter, or an accepted one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Link {
     /// The connection opened to the voter of this name.
@@ -13,42 +13,42 @@
     Conn(u64),
 }
 
-/// Where an answer goes.
+/// The destination of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// To this process itself.
+    /// This process itself.
     Own,
     Link(Link),
 }
 
-/// Something that staff or a test may want to know of.
+/// An event for operators and tests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// This process holds the lease on a duty for a time.
+    /// This process holds the lease on a duty until the given time.
     LeaseHeld {
         duty: String,
         token: u64,
         from_us: u64,
         until_us: u64,
     },
-    /// The lease ran out without a renewal.
+    /// The lease expired without a renewal.
     LeaseExpired {
         duty: String,
         token: u64,
     },
-    /// This process gave the duty up.
+    /// This process gave up the duty.
     LeaseReleased {
         duty: String,
         token: u64,
     },
-    /// A publication passed the fence and is in force here.
+    /// A publication was accepted and is in force here.
     PublicationApplied {
         duty: String,
         token: u64,
         version: u64,
         owner: String,
     },
-    /// The fence refused a publication: `seen` is the higher token that stands against it.
+    /// The fence rejected a publication, because the higher token `seen` was accepted before.
     StalePublication {
         duty: String,
         token: u64,
@@ -62,17 +62,17 @@
     LostLeadership {
         term: u64,
     },
-    /// The replicated log began with this many voters.
+    /// The replicated log was created with this many voters.
     LogFounded {
         voters: usize,
     },
-    /// The log began without this disk: the voter listens until the others take it in.
+    /// The log was created without this disk: the voter listens until the others admit it.
     AwaitingAdmission,
-    /// A voter's new disk has taken its old one's place.
+    /// A voter's new disk has replaced its old one.
     VoterReplaced {
         name: String,
     },
-    /// A newer process of the same name has the session.
+    /// A newer process of the same name has taken the session.
     Superseded,
     /// A process of another fleet connected.
     ForeignFleet {
@@ -83,48 +83,48 @@
         why: String,
     },
     DiskRecovered,
-    /// The leader gave a duty to a process.
+    /// The leader granted a duty to a process.
     DutyGranted {
         duty: String,
         token: u64,
         to: String,
     },
-    /// A machine of a plan has come to another stage: told by the leader.
+    /// A machine of a plan entered another stage. Reported by the leader.
     WorkStepped {
         step: Step,
     },
-    /// The maintenance system has not begun work on a machine.
+    /// The maintenance system did not start work on a machine.
     WorkNotStarted {
         machine: String,
         why: String,
     },
 }
 
-/// What a maintenance system answered to a call that begins work.
+/// A maintenance system's answer to a call that starts work.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkStart {
     Started,
-    /// It has heard from an owner with this higher token.
+    /// It has seen an owner with this higher token.
     StaleToken(u64),
     Refused(String),
 }
 
-/// One thing for the host to do.
+/// An instruction to the host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     Send(Link, Word),
-    /// Nothing more is to be received from there.
+    /// Receive nothing more from there.
     Close(Link),
-    /// From now on each connection begins with this; those that are open get it too.
+    /// The new first message of each connection; connections that are already open get it too.
     Hello(Word),
-    /// For the proxy: these backends are out for the whole fleet.
+    /// For the proxy: the set of backends that are out of service fleet-wide.
     Apply(Publication),
     /// The answer to the call of this number.
     Answer(u64, Told),
     Event(Event),
     /// Until when the proxy may send anything to a backend, by its own clock.
     SendUntil(u64),
-    /// Whether the proxy itself is to be drained for work.
+    /// Whether the proxy itself is to be drained for maintenance.
     Drain(bool),
     /// For the maintenance system.
     StartWork(Begin),
--- a/crates/fleet/src/node/persistence.rs
+++ b/crates/fleet/src/node/persistence.rs
@@ -1,15 +1,16 @@
-//! The disk: what must be written before the node says anything, and what happens when writes fail.
+//! Persistence: what must be written before any output is released, and the handling of write failures.
 
 use crate::kept::{Batch, Disk, Kept};
 use crate::words::Word;
 
 use super::{Event, Link, Node, Output};
 
-/// Rounds of agreement in one call: proposals and what comes of them bring one another on.
+/// Maximum number of consensus rounds in one call to `pump`, since proposals and their outcomes trigger one
+/// another.
 const MOST_ROUNDS: usize = 8;
 
 impl Node {
-    /// Carries everything as far as it goes now; what is to be done then comes from `take_outputs`.
+    /// Advances everything as far as possible now. The resulting outputs are returned by `take_outputs`.
     pub fn pump(&mut self, now_us: u64, disk: &mut dyn Disk) {
         if self.disk_error.is_some() {
             return;
@@ -30,7 +31,7 @@
         Ok(())
     }
 
-    /// Writes the publication taken last. If that fails it is kept for the next try.
+    /// Persists the publication accepted last. On failure it is kept for the next attempt.
     fn write_publication(&mut self, disk: &mut dyn Disk) -> Result<(), String> {
         let Some(publication) = self.unwritten.take() else { return Ok(()) };
         let version = publication.version;
@@ -45,7 +46,7 @@
         Ok(())
     }
 
-    /// One round of agreement; whether there may be more to do.
+    /// One round of consensus. Returns whether there may be more to do.
     fn advance_agreement(&mut self, now_us: u64, disk: &mut dyn Disk) -> Result<bool, String> {
         let Some(agreement) = self.agreement_mut() else { return Ok(false) };
         let progress = agreement.pump(disk)?;
@@ -74,21 +75,21 @@
         }
     }
 
-    /// The disk takes writes again; this is what it holds, read anew.
+    /// The disk accepts writes again; `kept` is its contents, read anew.
     pub fn disk_recovered(&mut self, now_us: u64, kept: Kept) {
         if self.disk_error.take().is_none() {
             return;
         }
         self.session.writable = true;
         self.event(Event::DiskRecovered);
-        // What was taken meanwhile is not there yet.
+        // What was accepted in the meantime has not been written yet.
         self.unwritten = self.session.taken.clone().filter(|taken| kept.taken.as_ref() != Some(taken));
         self.load(now_us, kept);
         self.session.hurry(now_us);
     }
 
-    /// The disk can't be had, at the start or later: this process stops voting and owning, and says so, so that
-    /// another that can write goes on at once.
+    /// The disk is not available, at the start or later. This process stops voting and owning duties, and
+    /// announces it, so that a process that can write takes over at once.
     pub fn disk_failed(&mut self, why: String) {
         if self.disk_error.is_none() {
             self.event(Event::DiskFailed { why: why.clone() });
--- a/crates/fleet/src/node/publication.rs
+++ b/crates/fleet/src/node/publication.rs
@@ -1,12 +1,12 @@
-//! Publications of which backends are out: made by the duty's owner, fenced by token at each receiver, and spread by
-//! the voters.
+//! Publications of the set of backends that are out: made by the duty's owner, checked by each receiver's
+//! fence, and distributed by the voters.
 
 use crate::words::{Publication, Word, OUTS};
 
 use super::{Event, Link, Node, Output};
 
 impl Node {
-    /// Publishes, where this process owns the duty and something is due.
+    /// Publishes, if this process owns the duty and a publication is due.
     pub(super) fn publish(&mut self, now_us: u64) {
         let Some(publication) = self.session.publish(now_us) else { return };
         let is_news = self.apply_publication(None, &publication);
@@ -20,8 +20,8 @@
         }
     }
 
-    /// A publication, from wherever it comes: it is for this process and for all whose way it is on. Sessions hear
-    /// what is news here; what one has missed it is sent with its next renewal.
+    /// Handles a publication from another process, and forwards it to those that receive theirs through this
+    /// process. Sessions are sent only changes; one that missed a change gets it after its next renewal.
     pub(super) fn receive_publication(&mut self, link: Link, publication: Publication, passed: bool) {
         let is_news = self.apply_publication(Some(link), &publication);
         if self.voter.is_none() {
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Through the fence into force, or refused to where it came from. Whether it is news.
+    /// Applies the publication if it passes the fence; otherwise rejects it to its sender. Returns whether it
+    /// changed anything.
     fn apply_publication(&mut self, from: Option<Link>, publication: &Publication) -> bool {
         let (duty, owner) = (OUTS.to_owned(), publication.owner.clone());
         let (token, version) = (publication.token, publication.version);
--- a/crates/fleet/src/node/renewal.rs
+++ b/crates/fleet/src/node/renewal.rs
@@ -1,4 +1,5 @@
-//! Renewals: this process's own heartbeats to the leader and their answers, and those of other processes on their way.
+//! Renewals: this process's own heartbeats to the leader and their answers, and those of other processes,
+//! forwarded.
 
 use crate::agree::Agree;
 use crate::session::Changes;
@@ -8,8 +9,8 @@
 use super::{Event, Link, Node, Output, Route};
 
 impl Node {
-    /// The way to the leader: from a voter directly, else through the voter that the session is with. None for the
-    /// leader itself.
+    /// The route to the leader: direct from a voter, otherwise through the voter that the session is with.
+    /// None for the leader itself.
     pub(super) fn link_to_leader(&self) -> Option<Link> {
         match self.agreement().filter(|agreement| agreement.started()) {
             Some(agreement) if agreement.leads() => None,
@@ -18,13 +19,13 @@
         }
     }
 
-    /// The other voter that the session is with, where this process is none or its own part is down.
+    /// The voter that the session is with, if this process is not a voter or its own voter is down.
     pub(super) fn session_voter(&self) -> Option<&str> {
         let voters = self.plan.voters.iter().cycle().skip(self.voter_index).take(self.plan.voters.len());
         voters.map(String::as_str).find(|name| *name != self.process.name)
     }
 
-    /// Takes the session to the next voter.
+    /// Moves the session to the next voter.
     pub(super) fn next_session_voter(&mut self, now_us: u64) {
         let position = |name: &str| self.plan.voters.iter().position(|voter| voter == name);
         let index = self.session_voter().and_then(position).unwrap_or(self.voter_index);
@@ -32,7 +33,7 @@
         self.session.hurry(now_us);
     }
 
-    /// Renews the session, when that is due.
+    /// Renews the session, if that is due.
     pub(super) fn renew(&mut self, now_us: u64) {
         if self.session.forsaken(now_us) && self.agreement().is_none_or(|agreement| !agreement.started()) {
             self.next_session_voter(now_us);
@@ -45,7 +46,7 @@
         }
     }
 
-    /// The fleet's answer to this process's own renewal.
+    /// Handles the answer to this process's own renewal.
     pub(super) fn renewed(&mut self, now_us: u64, answer: Renewed) {
         let was_superseded = self.session.superseded;
         let changes = self.session.renewed(now_us, answer);
@@ -70,7 +71,8 @@
         }
     }
 
-    /// Tells the proxy whether it is to be drained, where that has changed. One that is to go leads no more.
+    /// Reports to the proxy whether it is to be drained, if that has changed. A proxy that is to be drained
+    /// gives up the leadership.
     fn report_drain(&mut self) {
         if self.session.drained == self.draining {
             return;
@@ -90,8 +92,8 @@
         }
     }
 
-    /// Another process's renewal: taken by the leader, passed on to it by other voters. What its sender has missed it
-    /// is sent at once.
+    /// Another process's renewal: recorded by the leader, forwarded to it by other voters. A publication that
+    /// the sender has missed is sent to it at once.
     pub(super) fn receive_renewal(&mut self, now_us: u64, sender: &Sender, renewal: Renewal) {
         let direct = renewal.who.name == sender.name;
         if direct {
@@ -112,7 +114,7 @@
         }
     }
 
-    /// One hop: to the leader, or whoever was it a moment ago.
+    /// Forwards at most once, to the leader as last known.
     fn pass_on_renewal(&mut self, sender: &Sender, renewal: Renewal) {
         match self.agreement().and_then(Agree::leader).map(str::to_owned) {
             Some(leader) if leader != self.process.name => {
--- a/crates/fleet/src/node/requests.rs
+++ b/crates/fleet/src/node/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of other processes: answered by the leader, passed on to it by other voters.
+//! Requests of other processes: answered by the leader, forwarded to it by other voters.
 
 use crate::agree::Agree;
 use crate::state::{Command, Outcome};
@@ -11,7 +11,7 @@
 
 const NO_LEADER: &str = "nobody leads";
 
-/// Who made a request, under which number of its own, and the way back to it.
+/// The origin of a request: the process, its number for the call, and the route back to it.
 pub(super) struct Requester {
     pub(super) route: Route,
     pub(super) process: Who,
@@ -27,7 +27,7 @@
         call: u64,
         ask: Ask,
     ) {
-        // One hop: only what comes from the process itself is passed on.
+        // Forwarded at most once: only a request received from the requester itself.
         let direct = process.name == sender.name;
         let requester = Requester { route: Route::Link(self.return_link(sender)), process, call };
         if self.leader.is_some() {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Answers a request; a command is answered once it has been applied.
+    /// Answers a request. A command is answered once it has been applied.
     pub(super) fn answer_as_leader(&mut self, now_us: u64, requester: Requester, ask: Ask) {
         match ask {
             Ask::Status => {
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Why a command that says a machine is out can't be taken, whatever its owner believes: the leader knows of a
-    /// proxy that may still send there.
+    /// Why a step that declares a machine out must be refused, if so. The owner's opinion does not matter:
+    /// the leader knows of a proxy that may still send to the machine.
     fn unproven_step(&mut self, now_us: u64, command: &Command) -> Option<String> {
         let Command::Steps(steps) = command else { return None };
         let fleet = &self.voter.as_ref()?.agreement.as_ref()?.fleet;
--- a/crates/fleet/src/node/voter.rs
+++ b/crates/fleet/src/node/voter.rs
@@ -1,4 +1,4 @@
-//! The part of a process that votes: the founding of the log, and the agreement that keeps it.
+//! The voter of a process: creation of the log, and the consensus that maintains it.
 
 use crate::agree::{founding, Agree};
 use crate::found::{Founding, Next};
@@ -8,15 +8,16 @@
 use super::messages::Sender;
 use super::{Event, Link, Node, Output};
 
-/// How often an unstarted voter says where it stands.
+/// How often a voter without a log sends its state to the others.
 const SEAT_INTERVAL_US: u64 = 200_000;
-/// Ticks that may be made up for one by one; after a longer pause one tick stands for all that were missed.
+/// Maximum number of missed ticks that are caught up one by one. After a longer pause, one tick stands for
+/// all missed ones.
 const MOST_LATE_TICKS: u64 = 4;
 
-/// A process that is no voter has none, nor has one whose disk takes no writes.
+/// Absent in a process that is not a voter or whose disk accepts no writes.
 pub(super) struct Voter {
     pub(super) founding: Founding,
-    /// None until the log has begun.
+    /// None until the log has been created.
     pub(super) agreement: Option<Agree>,
     next_seat_us: u64,
     next_tick_us: u64,
@@ -31,7 +32,8 @@
         self.agreement.as_ref().is_some_and(Agree::started)
     }
 
-    /// Ticks the agreement's engine when it is due. What others said during a pause is yet to be received.
+    /// Ticks the consensus when a tick is due. After a pause, messages that arrived meanwhile have not been
+    /// handled yet.
     fn tick(&mut self, now_us: u64, tick_us: u64) {
         let Some(agreement) = &mut self.agreement else { return };
         if now_us < self.next_tick_us {
@@ -44,7 +46,7 @@
 }
 
 impl Node {
-    /// Takes up voting, where this process is a voter and its disk is there.
+    /// Starts the voter, if this process is one and its disk is available.
     pub(super) fn start_voter(&mut self, now_us: u64) {
         if !self.plan.voters.contains(&self.process.name) || self.kept.seat == 0 {
             return;
@@ -104,7 +106,8 @@
         }
     }
 
-    /// Where another voter stands in the founding. Only a voter says this, whatever was last heard of its standing.
+    /// Handles another voter's state during log creation. Only voters send this, whatever the sender's last
+    /// hello said.
     pub(super) fn receive_seat(&mut self, sender: &Sender, seat: Seat) {
         if !self.plan.voters.contains(&sender.name) {
             return;
@@ -124,7 +127,7 @@
         }
     }
 
-    /// A message of the agreement's engine, from another voter.
+    /// A Raft message from another voter.
     pub(super) fn receive_agreement(&mut self, sender: &Sender, message: &[u8]) {
         if !self.plan.voters.contains(&sender.name) {
             return;
@@ -134,7 +137,7 @@
         }
     }
 
-    /// Does what the founding allows now, where the log has yet to begin.
+    /// Takes the next step of log creation, if the log does not exist yet.
     pub(super) fn advance_founding(&mut self, now_us: u64, disk: &mut dyn Disk) -> Result<(), String> {
         let Some(voter) = self.voter.as_ref().filter(|voter| voter.agreement.is_none()) else {
             return Ok(());
@@ -151,7 +154,7 @@
         }
     }
 
-    /// Binds this voter to a roster, on disk before anybody hears of it.
+    /// Commits this voter to a roster, on disk before it is announced.
     fn seal_roster(&mut self, now_us: u64, roster: Roster, disk: &mut dyn Disk) -> Result<(), String> {
         self.write(disk, &Batch { roster: Some(roster.clone()), ..Batch::default() })?;
         if let Some(voter) = &mut self.voter {
@@ -164,7 +167,7 @@
     fn found_log(&mut self, now_us: u64, roster: &Roster, disk: &mut dyn Disk) -> Result<(), String> {
         self.write(disk, &founding(roster))?;
         self.start_agreement(now_us);
-        // The others must hear it even if they were bound first.
+        // The others must learn of it, even if they committed to the roster first.
         if let Some(seat) = self.voter.as_ref().map(|voter| voter.founding.own.clone()) {
             self.send_to_voters(&Word::Seat(seat));
         }
--- a/crates/fleet/src/order.rs
+++ b/crates/fleet/src/order.rs
@@ -1,39 +1,41 @@
-//! Who goes out for work next, and what each machine's next step is: decided by the duty's owner from the agreed
-//! plans and from the sum of what all proxies see. No I/O, no clock of its own; the same from the same words.
-//! Called by `node` where it owns the duty, and by the lab at full size in virtual time.
+//! Scheduler for maintenance work. The owner of the work duty decides from the replicated plans and the
+//! aggregated observations which machine is taken out next and what each machine's next step is. No I/O and
+//! no clock; the same input gives the same decisions. Called by `node` on the duty's owner, and by the lab at
+//! full fleet size in virtual time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::sight::{Sight, Summed};
 use crate::work::{cut, Bounds, Is, Machine, Plan, Stage, Step, Work};
 
-/// A step that was asked for and not heard of is asked for again.
+/// When to repeat a step that was requested and not answered.
 const AGAIN_US: u64 = 1_000_000;
-/// A call to a maintenance system likewise.
+/// When to repeat a call to a maintenance system.
 const BEGIN_AGAIN_US: u64 = 2_000_000;
-/// How often what a plan waits for is written to the log, at most.
+/// Minimum interval between log entries on what a plan is waiting for.
 const SAY_US: u64 = 2_000_000;
-/// Steps in one entry of the log.
+/// Maximum number of steps in one log entry.
 const MOST_STEPS: usize = 64;
-/// Fewer queries a second turned away are chance.
+/// Rejected queries per second up to this rate are regarded as noise.
 const FEW: f64 = 0.5;
 const MINUTE_US: u64 = 60_000_000;
 
-/// All that is decided from.
+/// All inputs to a decision.
 pub struct Before<'a> {
     pub now_us: u64,
     pub wall_us: u64,
     pub work: &'a Work,
     pub sight: &'a Sight,
-    /// Out for whatever reason, as published.
+    /// Backends out for any reason, as published.
     pub outs: &'a BTreeSet<String>,
     pub voters: &'a [String],
     pub token: u64,
-    /// How long proxies have to look at what is next to go.
+    /// How long proxies are given to consider the machines scheduled next.
     pub patience_us: u64,
 }
 
-/// The call that begins work on a machine. The same `id` stands for the same beginning, whoever calls.
+/// The call that begins work on a machine. Repeated calls for the same start have the same `id`, whichever
+/// owner makes them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Begin {
     pub id: String,
@@ -44,32 +46,33 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
+/// An action for the owner of the work duty.
 pub enum Do {
     Steps(Vec<Step>),
     Waits { plan: String, why: String },
     Begin(Begin),
 }
 
-/// What an owner remembers beside the agreed state. It dies with the ownership: the next one begins with none of
-/// it, and only waits a little longer.
+/// What an owner remembers beside the replicated state. It is lost with the ownership; the next owner starts
+/// without it and merely waits a little longer.
 #[derive(Default)]
 pub struct Owner {
-    /// When each machine was first seen at its revision.
+    /// For each machine, its revision and when it was first seen at it.
     since: BTreeMap<String, (u64, u64)>,
     asked: BTreeMap<String, (u64, u64)>,
     begun: BTreeMap<String, u64>,
     said: BTreeMap<String, u64>,
-    /// Since when nothing is wrong.
+    /// Since when there has been no trouble.
     well_us: Option<u64>,
 }
 
-/// What the backends in service can carry and what is needed, in load units.
+/// Capacity in service and measured demand, in load units: in total, by zone and by cell.
 #[derive(Clone, Debug, Default)]
 pub struct Room {
     all: (f64, f64),
     zones: BTreeMap<String, (f64, f64)>,
     cells: BTreeMap<(String, u32), (f64, f64, u32)>,
-    /// Dead without being out.
+    /// Backends that are unreachable without having been taken out.
     pub dead: u32,
 }
 
@@ -111,12 +114,12 @@
         self.all.0 -= one.max;
     }
 
-    /// The least that is left over what is needed, in all and by zone.
+    /// The lowest ratio of capacity to demand, over the whole fleet and each zone.
     pub fn spare(&self) -> f64 {
         self.zones.values().chain([&self.all]).map(|one| over(*one)).fold(f64::INFINITY, f64::min)
     }
 
-    /// The same for a machine's own zone and cell, once it has gone.
+    /// The lowest ratio in a machine's own zone and cell after it has been taken out.
     fn left(&self, one: &Summed) -> f64 {
         let zone = self.zones.get(&one.zone).map_or(f64::INFINITY, |sum| over((sum.0 - one.max, sum.1)));
         let cell = self.cells.get(&(one.zone.clone(), one.cell));
@@ -137,7 +140,7 @@
     bounds.quiet.iter().any(within)
 }
 
-/// Why nothing more is to go out, and whether what can is to be called back.
+/// Why no further machine may be taken out, and whether machines that can return are to be called back.
 fn trouble(bounds: &Bounds, sight: &Sight, room: &Room, out: u32) -> Option<(String, bool)> {
     if sight.in_touch == 0 || 2 * sight.told < sight.in_touch {
         let (told, all) = (sight.told, sight.in_touch);
@@ -170,7 +173,7 @@
         now_us.saturating_sub(since.1)
     }
 
-    /// What to do now. Called again as soon as anything has changed, and from time to time.
+    /// The actions that are due now. Called again on every change, and periodically.
     pub fn next(&mut self, before: &Before) -> Vec<Do> {
         let Before { now_us, work, sight, .. } = *before;
         let mut room = Room::of(sight, before.outs);
@@ -200,7 +203,7 @@
                 match self.one(before, plan, name, (id, machine), for_us, wrong.as_ref(), &left) {
                     Next::Step(to, why) => {
                         let step = step(before, name, id, machine, to, &why);
-                        // Asked for, it counts as taken in what else is settled now.
+                        // A requested step counts as taken for the decisions that follow.
                         let _ = left.step(&step, before.token, before.voters.len());
                         if self.asks(now_us, id, machine) && steps.len() < MOST_STEPS {
                             steps.push(step);
@@ -218,7 +221,7 @@
                 }
             }
             if plan.cancelled {
-                // What is under work is waited for; nothing else is begun.
+                // Wait for work in progress; start nothing new.
             } else if plan.paused {
                 wait("paused".into());
             } else if let Some((why, ..)) = &wrong {
@@ -250,7 +253,7 @@
         again
     }
 
-    /// A machine that is on its way.
+    /// The next action for a machine that is past `Stage::Proposed`.
     fn one(
         &mut self,
         before: &Before,
@@ -335,7 +338,8 @@
         }
     }
 
-    /// Those that may go now, the one that leaves most room first; each settled with those before it gone.
+    /// Selects the machines that may be taken out now, the one that leaves the most capacity first. Each is
+    /// checked with those selected before it already gone.
     fn go(
         &mut self,
         before: &Before,
@@ -350,7 +354,8 @@
         let mut go = Vec::new();
         let proposed = plan.machines.iter().filter(|(_, machine)| machine.stage == Stage::Proposed);
         let mut proposed: Vec<_> = proposed.collect();
-        // Against what is there now, not against each that goes: who comes first must not depend on how many go.
+        // Sorted by the capacity as it is now, not updated after each selection: the order must not depend on
+        // how many machines are taken out.
         let key = |(id, machine): &(&String, &Machine)| {
             let one = sight.backends.get(*id).unwrap_or(&none);
             let room = if machine.is == Is::Backend { room.left(one) } else { f64::INFINITY };
@@ -362,7 +367,7 @@
             back.then(room_b.total_cmp(&room_a)).then(load_a.total_cmp(&load_b)).then(a.0.cmp(b.0))
         });
         for (id, machine) in proposed {
-            // The rest of a long plan waits for the same.
+            // The rest of a long plan waits for the same reason.
             let (all, most) = (left.count().all, plan.bounds.most_out);
             if all >= most {
                 wait(format!("{all} out of {most} that may be"));
@@ -408,7 +413,7 @@
                 return Err(format!("{id}: {silent} voters are silent, and {bears} may be away"));
             }
         }
-        // Out, dead or unknown to all: its going takes nothing away.
+        // Out, unreachable or unknown to all proxies: taking it out removes no capacity.
         let Some(one) = one.filter(|one| !one.lost() && !before.outs.contains(id)) else {
             return Ok("nothing is sent there".into());
         };
@@ -424,13 +429,13 @@
         Ok(format!("{:.1} times the need left near it, {spare:.1} in all", room.left(one)))
     }
 
-    /// What a plan waits for, where that is news.
+    /// Reports what a plan is waiting for, if that has changed.
     fn say(&mut self, now_us: u64, name: &str, plan: &Plan, waits: &BTreeMap<String, u32>) -> Option<Do> {
         let line = |(why, count): (&String, &u32)| match count {
             1 => why.clone(),
             count => format!("{why} ({count})"),
         };
-        // What an operator can do something about comes first: it is said of one machine.
+        // Reasons that name a machine come first, since an operator can act on them.
         let mut lines: Vec<(&String, &u32)> = waits.iter().collect();
         lines.sort_by_key(|(why, count)| (!why.contains(": "), **count, (*why).clone()));
         let why = lines.into_iter().take(3).map(line).collect::<Vec<_>>().join("; ");
@@ -442,7 +447,7 @@
         Some(Do::Waits { plan: name.to_owned(), why })
     }
 
-    /// The maintenance system has said yes.
+    /// The step to take when the maintenance system has accepted the call.
     pub fn begun(before: &Before, call: &Begin) -> Option<Step> {
         let machine = before.work.plans.get(&call.plan)?.machines.get(&call.machine)?;
         let plan = before.work.plans.get(&call.plan)?;
@@ -461,7 +466,8 @@
     }
 }
 
-/// The same for every owner that finds the machine at this stage, and for no other beginning.
+/// Identifies one start of work on a machine: the same for every owner that finds the machine at this stage,
+/// and different for every other start.
 fn beginning(name: &str, plan: &Plan, id: &str, machine: &Machine) -> String {
     format!("{name}/{}/{id}/{}", plan.number, machine.put_back)
 }
--- a/crates/fleet/src/session.rs
+++ b/crates/fleet/src/session.rs
@@ -1,5 +1,5 @@
-//! One process's session with the fleet: its signs of life, the duties it holds, the version it has taken
-//! and the fence before it. Called by `node`.
+//! One process's session with the fleet: its renewals, the leases it holds, the publication it has accepted
+//! and the fence that guards it. Used by `node`.
 
 use std::collections::BTreeSet;
 
@@ -8,24 +8,26 @@
 use crate::words::{Desk, Publication, Renewal, Renewed, Who, OUTS};
 use crate::work::Terms;
 
-/// How long an answer may take before another voter is asked, in renewals of an owner.
+/// How long to wait for an answer before trying another voter, in units of the owner's renewal interval.
 const PATIENCE: u64 = 2;
 
+/// State of one process's session. Times are in microseconds by the process's own clock.
 pub struct Session {
     pub who: Who,
     times: Times,
     pub willing: bool,
-    /// The disk takes writes: one that can't keep what it is told owns nothing.
+    /// Whether the disk accepts writes. A process that cannot persist what it is told owns nothing.
     pub writable: bool,
     pub superseded: bool,
     pub holding: Holding,
     fence: Fence,
-    /// The version agreed when this process was first answered. Until then it takes nothing: what it had taken
-    /// before a restart may not have reached its disk, and an old word would take it back.
+    /// The committed version at the time of the first answer. Older publications are ignored: what this
+    /// process had accepted before a restart may not have reached its disk, and an old publication would
+    /// revert it.
     floor: Option<u64>,
     pub taken: Option<Publication>,
     pub acted: u64,
-    /// As an owner has it from the leader: the version and what it holds.
+    /// As the owner of the outs duty: the committed version and set of backends, from the leader.
     agreed: Option<(u64, BTreeSet<String>)>,
     /// Token and version last published, and when.
     published: Option<(u64, u64, u64)>,
@@ -36,30 +38,31 @@
     pub terms: Terms,
     /// The version that the disk holds.
     pub kept: u64,
-    /// Until when this process may send, where it must hear the fleet to go on.
+    /// Until when this process may send, if its policy requires contact with the fleet.
     right_us: u64,
-    /// An answer that told of a version not yet acted on: it counts once it is.
+    /// Version and send time of an answer whose version is not applied yet. It extends `send_until_us` once
+    /// it is.
     unacted: Option<(u64, u64)>,
-    /// Has acted on what was in force when the fleet first answered.
+    /// Whether the version in force at the fleet's first answer has been applied.
     caught_up: bool,
     pub busy: BTreeSet<String>,
-    /// Nothing in hand while drained for work.
+    /// Whether the proxy has no queries in progress while drained for maintenance.
     pub empty: bool,
     view: View,
-    /// The leader that the view was last told to, and how many renewals ago.
+    /// The leader that the view was last sent to, and the number of renewals since.
     told_to: Option<(String, u32)>,
-    /// The work's revision, and who is next to go by it.
+    /// The plans' revision, and the backends scheduled to leave next at that revision.
     next: Option<(u64, Vec<String>)>,
-    /// Whether this proxy is to be drained for work.
+    /// Whether this proxy is to be drained for maintenance.
     pub drained: bool,
-    /// As the owner of the work.
+    /// Input for the owner of the work duty.
     pub desk: Option<Desk>,
 }
 
-/// Renewals after which what is seen is told again though nothing has changed.
+/// Renewals after which an unchanged view is sent again.
 const TOLD_AGAIN: u32 = 8;
 
-/// What an answer changed.
+/// Changes caused by an answer to a renewal.
 #[derive(Default, Debug, PartialEq)]
 pub struct Changes {
     pub held: Vec<(String, Held)>,
@@ -109,7 +112,8 @@
         }
     }
 
-    /// The proxy's module has been told of this version, and these of those out have something in hand.
+    /// Records that the proxy's dispatch has applied this version, and which of the backends that are out
+    /// still have queries in progress.
     pub fn acts(&mut self, now_us: u64, version: u64, busy: BTreeSet<String>) {
         self.acted = self.acted.max(version);
         self.busy = busy;
@@ -117,8 +121,8 @@
         self.hurry(now_us);
     }
 
-    /// The right to send counts from a renewal whose answer told of no version that is not acted on: once the
-    /// fleet has waited for a lease, who lacks a version has ended its right.
+    /// Permission to send is extended only by a renewal whose answer named a version that is applied. So once
+    /// the fleet has waited for a lease, a process that lacks a version has lost its permission.
     fn catch_up(&mut self) {
         if let Some((version, sent_us)) = self.unacted.filter(|(version, _)| *version <= self.acted) {
             let until = (sent_us + self.times.lease_us).saturating_sub(self.times.margin_us);
@@ -128,6 +132,7 @@
         }
     }
 
+    /// Records what the proxy observes of its backends.
     pub fn sees(&mut self, view: View) {
         if view != self.view {
             self.view = view.cut();
@@ -135,7 +140,7 @@
         }
     }
 
-    /// What it says on work, if there is any.
+    /// The report on maintenance that goes with a renewal.
     fn seen(&mut self) -> Seen {
         let (busy, drained) = (self.busy.clone(), self.drained && self.empty);
         let Some((revision, next)) = &self.next else { return Seen { busy, drained, ..Seen::default() } };
@@ -146,11 +151,12 @@
         Seen { revision: *revision, objections, busy, drained, view: (!fresh).then(|| self.view.clone()) }
     }
 
+    /// Makes the next renewal due now.
     pub fn hurry(&mut self, now_us: u64) {
         self.next_us = self.next_us.min(now_us);
     }
 
-    /// No answer for so long that another voter is worth trying.
+    /// Whether the answer is so late that another voter should be tried.
     pub fn forsaken(&mut self, now_us: u64) -> bool {
         let patience = PATIENCE * self.times.renew_us + self.times.tick_us;
         let forsaken = self.unanswered_us.is_some_and(|since| now_us > since + patience);
@@ -161,7 +167,7 @@
         forsaken
     }
 
-    /// The next sign of life, when it is due.
+    /// The next renewal, if it is due.
     pub fn due(&mut self, now_us: u64, voter: bool) -> Option<Renewal> {
         if now_us < self.next_us {
             return None;
@@ -170,7 +176,7 @@
         let quick = owns || self.unanswered_us.is_some();
         self.next_us = now_us + if quick { self.times.renew_us } else { self.times.session_us };
         self.unanswered_us.get_or_insert(now_us);
-        // An answer is expected within a renewal, whatever the pace.
+        // An answer is expected within the owner's interval, even in a session that renews less often.
         self.next_us = self.next_us.min(now_us + self.times.session_us);
         let seen = self.seen();
         Some(Renewal {
@@ -190,7 +196,7 @@
         })
     }
 
-    /// As the owner of the work: what it had of the plans stands where the answer has nothing newer.
+    /// Takes over the work context. The plans held so far stay valid if the answer has no newer ones.
     fn desk(&mut self, desk: Option<Box<Desk>>) {
         let Some(mut new) = desk.map(|desk| *desk) else { return };
         if new.work.is_none() {
@@ -200,6 +206,7 @@
         self.desk = Some(new);
     }
 
+    /// Handles the leader's answer to a renewal.
     pub fn renewed(&mut self, now_us: u64, answer: Renewed) -> Changes {
         let mut changes = Changes::default();
         self.unanswered_us = None;
@@ -210,14 +217,14 @@
         self.catch_up();
         let news = answer.next.as_ref().map(|next| next.0) != self.next.as_ref().map(|next| next.0);
         if news && answer.next.as_ref().is_some_and(|(_, next)| !next.is_empty()) {
-            // What is next to go waits for everybody to have looked at it.
+            // Machines scheduled to leave wait until every proxy has considered them.
             self.hurry(now_us);
         }
         (self.next, self.drained) = (answer.next, answer.drained);
         self.desk(answer.work);
         for (duty, token) in &answer.tokens {
             if duty == OUTS {
-                // A lower one stands against nothing.
+                // A lower token has no effect on the fence.
                 let _ = self.fence.pass(*token);
             }
         }
@@ -227,8 +234,9 @@
             }
         }
         for (duty, token) in &answer.duties {
-            // What it no longer wants it gives back; and again what it gave back when nobody heard it, or the fleet
-            // would take it for the owner for good.
+            // Gives back a duty that this process no longer wants. One that it has given back before is given
+            // back again: if that message was lost, the fleet would otherwise regard this process as the
+            // owner for good.
             let gone = self.holding.has_let_go(duty, *token);
             if gone || !self.willing || self.superseded || !self.writable {
                 changes.let_go.push((duty.clone(), *token));
@@ -238,7 +246,7 @@
             if let Some(held) = self.holding.renewed(now_us, duty, *token, answer.sent_us, &self.times) {
                 changes.held.push((duty.clone(), held));
                 if was.is_none() {
-                    // From now on at an owner's pace.
+                    // From now on this process renews at the owner's interval.
                     self.next_us = self.next_us.min(now_us + self.times.renew_us);
                 }
             }
@@ -249,7 +257,7 @@
         changes
     }
 
-    /// Stops at once being the owner of anything; returns what the fleet is to be told is free.
+    /// Stops owning anything at once. Returns the duties that the fleet must be told are free.
     pub fn let_go_all(&mut self, now_us: u64) -> Vec<(String, u64)> {
         let all: Vec<(String, u64)> =
             self.holding.all(now_us).map(|(duty, token)| (duty.to_owned(), token)).collect();
@@ -259,13 +267,13 @@
         all
     }
 
-    /// Has heard of the version in force, and taken it if there is one.
+    /// Whether the version in force is known, and accepted if there is one.
     pub fn answered(&self) -> bool {
         self.floor.is_some_and(|floor| self.taken.as_ref().map_or(0, |taken| taken.version) >= floor)
     }
 
-    /// What to publish as an owner, if anything is due: news at once, all again from time to time, since words
-    /// get lost. The lease is looked at here, at the moment of use.
+    /// The publication to send as owner of the outs duty, if one is due: at once on a change, and from time
+    /// to time because messages can be lost. The lease is checked here, at the moment of use.
     pub fn publish(&mut self, now_us: u64) -> Option<Publication> {
         let token = self.holding.token(now_us, OUTS)?;
         let (version, outs) = self.agreed.clone()?;
@@ -279,8 +287,8 @@
         Some(Publication { token, version, outs, owner: self.who.to_string() })
     }
 
-    /// Takes an owner's word: the backends that are out now where that is news. An old owner's is refused with
-    /// the token that stands against it.
+    /// Accepts a publication. Returns whether it changes anything, or the token that fences it off if its
+    /// owner is out of date.
     pub fn take(&mut self, word: &Publication) -> Result<bool, u64> {
         if word.token >= self.fence.seen && self.floor.is_none_or(|floor| word.version < floor) {
             return Ok(false);
@@ -295,7 +303,7 @@
         Ok(true)
     }
 
-    /// What a session that says this of itself has yet to hear.
+    /// The publication that the sender of this renewal has yet to receive.
     pub fn missed_by(&self, renewal: &Renewal) -> Option<&Publication> {
         self.taken.as_ref().filter(|taken| renewal.taken < taken.version || renewal.taken_token < taken.token)
     }
--- a/crates/fleet/src/sight.rs
+++ b/crates/fleet/src/sight.rs
@@ -1,23 +1,25 @@
-//! What each proxy sees of the backends, told in coarse steps, and what all of it comes to. Called by `session`
-//! for the proxy's own words, by `lead` to sum them up, and by `order`, which settles by the sum alone.
+//! Observations of the backends: what each proxy reports, in quantized form, and the aggregate of all
+//! reports. Used by `session` for the proxy's own report, by `leader` to aggregate, and by `scheduler`, which
+//! decides from the aggregate alone.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 
-/// Steps to a doubling: a value is told to within a tenth.
+/// Steps per doubling: a reported value is within a tenth of the measured one.
 const STEPS: f32 = 4.0;
-/// The least value that is told apart from nothing.
+/// The smallest value that is distinguished from zero.
 const LEAST: f32 = 1.0 / 64.0;
-/// How long an objection stands unless it is made again.
+/// How long an objection stands unless it is repeated.
 const STANDS_US: u64 = 10_000_000;
-/// What may be in use of what is left, as one proxy sees it, before it objects.
+/// Share of the remaining capacity that may be in use, as seen by one proxy, before it objects.
 const STRAINED: f32 = 0.8;
-/// Of a word on what is seen: backends, names, objections.
+/// Maximum number of backends in one view.
 pub const MOST_SEEN: usize = 512;
+/// Maximum number of names and objections in one report.
 const MOST_NAMED: usize = 16;
 
-/// A value in steps of a quarter of a doubling.
+/// A non-negative value, quantized on a logarithmic scale in steps of a quarter of a doubling.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Coarse(u8);
 
@@ -38,30 +40,30 @@
     }
 }
 
-/// One backend as one proxy sees it, in the mechanism's load units.
+/// One backend as observed by one proxy, in the load units of the balancer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sees {
     pub zone: String,
     pub cell: u32,
-    /// Own units in flight, a mean over some time.
+    /// The proxy's own units in flight, averaged over time.
     pub load: Coarse,
     /// The learned maximum.
     pub max: Coarse,
-    /// Nothing but failures lately.
+    /// Whether recent queries to it have only failed.
     pub lost: bool,
 }
 
-/// All that one proxy sees.
+/// All observations of one proxy.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
     pub backends: BTreeMap<String, Sees>,
-    /// Queries a second, and those of them turned away or given up.
+    /// Queries per second, and those of them that were rejected or given up.
     pub queries: Coarse,
     pub rejected: Coarse,
 }
 
 impl View {
-    /// Bounded, whatever a list holds.
+    /// Limits the view to `MAX_VIEW_BACKENDS` backends, however many are configured.
     pub fn cut(mut self) -> Self {
         while self.backends.len() > MOST_SEEN {
             self.backends.pop_last();
@@ -70,29 +72,30 @@
     }
 }
 
+/// A proxy's objection to taking a machine out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Objection {
     pub machine: String,
     pub why: String,
-    /// From when it is heard.
+    /// How long it stands, counted from when it is received.
     pub for_us: u64,
 }
 
-/// A proxy's words on work, with each sign of life.
+/// A proxy's report on maintenance, sent with each renewal.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Seen {
-    /// The revision of the work that the objections answer.
+    /// The revision of the plans that the objections refer to.
     pub revision: u64,
     pub objections: Vec<Objection>,
-    /// Of the backends that are out, those at which it still has something in hand.
+    /// Of the backends that are out, those where it still has queries in progress.
     pub busy: BTreeSet<String>,
-    /// The process itself: told to drain, and nothing in hand any more.
+    /// Whether the proxy itself was told to drain and has no queries in progress.
     pub drained: bool,
-    /// Where it has changed, or the leader has.
+    /// Sent if the view or the leader has changed.
     pub view: Option<View>,
 }
 
-/// What a proxy has against these going out, by what it alone sees.
+/// The objections to taking out these machines, from one proxy's own view.
 pub fn objections(view: &View, next: &[String]) -> Vec<Objection> {
     let there = |without: &str| {
         let left = view.backends.iter().filter(|(id, one)| !one.lost && id.as_str() != without);
@@ -117,16 +120,16 @@
     next.iter().filter_map(object).take(MOST_NAMED).collect()
 }
 
-/// One backend as all that told of it see it.
+/// One backend, aggregated over all proxies that report it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Summed {
     pub zone: String,
     pub cell: u32,
     /// Units in flight, of all proxies.
     pub load: f64,
-    /// The middle of the learned maxima.
+    /// The median of the learned maxima.
     pub max: f64,
-    /// Proxies that told of it, and those of them that reach it no more.
+    /// Proxies that report it, and those of them that no longer reach it.
     pub by: u32,
     pub lost_by: u32,
 }
@@ -137,36 +140,37 @@
     }
 }
 
+/// The aggregate of all proxies' reports.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Sight {
     pub backends: BTreeMap<String, Summed>,
-    /// Proxies with a session, those of them in touch, and those that told what they see.
+    /// Proxies with a session, those of them in contact, and those that have reported a view.
     pub proxies: u32,
     pub in_touch: u32,
     pub told: u32,
     pub queries: f64,
     pub rejected: f64,
-    /// Those not in touch, a few of them by name.
+    /// Proxies not in contact. At most `MAX_NAMED` of them are listed.
     pub silent: Vec<String>,
-    /// Of the proxies in touch, the lowest revision that any has considered.
+    /// The lowest plan revision considered by any proxy in contact.
     pub considered: u64,
-    /// Who objects, to what, and why; in force now.
+    /// Objections in force: proxy, machine and reason.
     pub objections: Vec<(String, String, String)>,
-    /// For each machine that leaves: what it still waits for, nothing once it is proved to be out.
+    /// For each machine that is leaving, what it still waits for; empty once it is proved to be out.
     pub waits: BTreeMap<String, Vec<String>>,
-    /// For each machine that is back: how many proxies have yet to act on it.
+    /// For each machine that is back, the number of proxies that have yet to apply it.
     pub behind: BTreeMap<String, u32>,
-    /// Proxies that hold a duty or lead.
+    /// Proxies that own a duty or lead the voters.
     pub in_office: BTreeSet<String>,
 }
 
-/// One proxy's last words, as the leader has them.
+/// The latest report of one proxy, as the leader has it.
 pub struct Words<'a> {
     pub name: &'a str,
     pub view: Option<&'a View>,
     pub objections: &'a [Objection],
     pub revision: u64,
-    /// Since they were heard.
+    /// Time since the report was received.
     pub age_us: u64,
     pub in_touch: bool,
 }
@@ -176,7 +180,7 @@
     values.get(values.len() / 2).copied().unwrap_or(0.0)
 }
 
-/// The sum of what all proxies say; the same from the same words, in whatever order they come.
+/// Aggregates all proxies' reports. The result does not depend on their order.
 pub fn summed<'a>(words: impl Iterator<Item = Words<'a>>) -> Sight {
     let mut sight = Sight { considered: u64::MAX, ..Sight::default() };
     let mut maxima: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
@@ -214,7 +218,7 @@
             }
         }
     }
-    // A mean stands for those that have yet to tell.
+    // Proxies that have not reported a view are counted at the mean of those that have.
     let scale = f64::from(sight.in_touch) / f64::from(sight.told.max(1));
     for (id, summed) in &mut sight.backends {
         summed.max = maxima.get_mut(id.as_str()).map_or(0.0, |all| middle(all));
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -1,5 +1,5 @@
-//! The agreed state: what a log of commands makes of it, the same on every voter. Called by `agree` for
-//! each committed entry; `lead` reads it to decide what to propose.
+//! The replicated state machine: the state that results from applying the committed log, identical on every
+//! voter. `consensus` applies each committed entry; `leader` reads the state to decide what to propose.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -8,22 +8,24 @@
 use crate::words::{Roster, Who, WORK};
 use crate::work::{Absent, Order, Stage, Step, Terms, Work};
 
-/// Commands remembered, so that one repeated is carried out once.
+/// Outcomes remembered, so that a repeated command is applied only once.
 const MOST_DONE: usize = 4_096;
-/// Backends out at a time, all in all: bounds the state, and with it each publication.
+/// Maximum number of backends out of service at a time. Bounds the state and each publication.
 pub const MOST_OUTS: usize = 10_000;
-/// Proxies that left, all in all.
+/// Maximum number of departed proxies remembered.
 const MOST_ABSENT: usize = 4_096;
-/// Of one id of a backend, in bytes.
+/// Maximum length of a backend id, in bytes.
 pub const MOST_ID: usize = 200;
 
+/// A command in the replicated log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Sessions that have begun, and what binds them.
+    /// Sessions that have begun, with their send policies.
     Join(Vec<(Who, Terms)>),
-    /// Sessions that have ended; whether with a word of their own.
+    /// Sessions that have ended, and whether the process announced its exit.
     Leave(Vec<(Who, bool)>),
-    /// Good only for the token that follows the last one given, so that two grants never both hold.
+    /// Valid only if `token` directly follows the last one granted, so that two grants never both take
+    /// effect.
     Grant {
         duty: String,
         token: u64,
@@ -33,20 +35,21 @@
         duty: String,
         token: u64,
     },
-    /// Backends out for all, or back. `id` tells a repeated call from a second one.
+    /// Takes backends out of service fleet-wide, or puts them back. `id` tells a repeated call from a second
+    /// one.
     Outs {
         id: u128,
         out: bool,
         ids: Vec<String>,
     },
-    /// An operator's word on work, `id` as above.
+    /// An operator's command on maintenance work; `id` as above.
     Work {
         id: u128,
         order: Order,
     },
-    /// The owner's steps, each good by itself.
+    /// Steps proposed by the owner of the work duty. Each is checked on its own.
     Steps(Vec<Step>),
-    /// What a plan waits for, as its owner says.
+    /// What a plan is waiting for, as reported by the owner of the work duty.
     Waits {
         token: u64,
         plan: String,
@@ -54,18 +57,20 @@
     },
 }
 
+/// The result of applying a command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The version that holds it.
+    /// The version that contains the change.
     Version(u64),
     Granted,
     Nothing,
     Refused(String),
-    /// Of each step, why it was refused.
+    /// For each step, the reason if it was refused.
     Stepped(Vec<Option<String>>),
 }
 
-/// A call by its id. The same number on another kind of call is another call: its answer must not pass for this one's.
+/// Identifies a call. The kind is part of the key: the same number on another kind of call is another call,
+/// and must not get this one's outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 enum Call {
     Outs(u128),
@@ -75,25 +80,26 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Duty {
     pub owner: Option<Who>,
-    /// The last one given: they only grow.
+    /// The last token granted. Tokens only increase.
     pub token: u64,
 }
 
-/// The process that has a proxy's session.
+/// The process that holds a proxy's session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Current {
     pub incarnation: u64,
     pub terms: Terms,
 }
 
+/// The replicated state of the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Fleet {
     pub seats: Roster,
     pub sessions: BTreeMap<String, Current>,
-    /// Proxies that left and might send all the same: work on a machine has to reckon with them.
+    /// Proxies that have left and might still send. Maintenance on a machine has to take them into account.
     pub absent: BTreeMap<String, Absent>,
     pub duties: BTreeMap<String, Duty>,
-    /// By operators' word; `published` has those out for work too.
+    /// Backends taken out by operators. `published` adds those that are out for maintenance.
     pub outs: BTreeSet<String>,
     pub work: Work,
     pub version: u64,
@@ -105,11 +111,12 @@
         Fleet { seats, ..Fleet::default() }
     }
 
+    /// Whether this process holds its proxy's session.
     pub fn is_current(&self, who: &Who) -> bool {
         self.sessions.get(&who.name).is_some_and(|current| current.incarnation == who.incarnation)
     }
 
-    /// What proxies are told to be out: by operators or by plans, under one version.
+    /// The backends that proxies are told are out, by operators or by plans, under one version.
     pub fn published(&self) -> BTreeSet<String> {
         &self.outs | &self.work.outs()
     }
@@ -118,7 +125,7 @@
         self.duties.get(duty).map_or(0, |duty| duty.token)
     }
 
-    /// Carried out once, whatever comes again under its id.
+    /// Applies a call once. A repeated call gets the remembered outcome.
     fn once(&mut self, call: Call, done: impl FnOnce(&mut Self) -> Outcome) -> Outcome {
         if let Some((_, before)) = self.done.iter().find(|(done, _)| *done == call) {
             return before.clone();
@@ -131,7 +138,7 @@
         outcome
     }
 
-    /// What changes nothing needs no new version: the one in force says it already.
+    /// Increments the version if the published set has changed.
     fn renumber(&mut self, before: &BTreeSet<String>) -> Outcome {
         if self.published() != *before {
             self.version += 1;
@@ -139,11 +146,12 @@
         Outcome::Version(self.version)
     }
 
+    /// Applies a committed command.
     pub fn apply(&mut self, command: Command) -> Outcome {
         match command {
             Command::Join(all) => {
                 for (who, terms) in all {
-                    // Of two processes of one proxy the newer has the session.
+                    // Of two processes of the same proxy, the newer one holds the session.
                     let current = self.sessions.entry(who.name.clone()).or_default();
                     if who.incarnation >= current.incarnation {
                         *current = Current { incarnation: who.incarnation, terms };
@@ -154,12 +162,13 @@
             }
             Command::Leave(all) => {
                 for (who, parted) in all {
-                    // A newer process of that name may have come in between.
+                    // A newer process of that name may have joined in the meantime.
                     if !self.is_current(&who) {
                         continue;
                     }
                     let Some(Current { terms, .. }) = self.sessions.remove(&who.name) else { continue };
-                    // One that ended by itself, and that asks before it serves again, sends nothing.
+                    // A process that announced its exit, and that must hear the fleet before it serves again,
+                    // cannot send.
                     if !(parted && terms.waits) && self.absent.len() < MOST_ABSENT {
                         self.absent.insert(who.name.clone(), Absent { who, terms, parted });
                     }
--- a/crates/fleet/src/words.rs
+++ b/crates/fleet/src/words.rs
@@ -1,5 +1,5 @@
-//! What processes of a fleet say to one another, and the values all parts of this crate share. Called by
-//! every other module here, and by the carrier, which turns words into frames.
+//! Messages exchanged between the processes of a fleet, and the values shared by all modules of this crate.
+//! `crankpick-carry` encodes the messages as frames.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,14 +9,14 @@
 use crate::state::{Command, Outcome};
 use crate::work::{Absent, Terms, Work};
 
-/// The duty of publishing which backends are out for the whole fleet.
+/// The duty of publishing which backends are out of service for the whole fleet.
 pub const OUTS: &str = "outs";
-/// The duty of settling which machines go out for work, and when.
+/// The duty of scheduling maintenance work: which machines are taken out of service, and when.
 pub const WORK: &str = "work";
-/// Pieces of fleet work that have one owner at a time.
+/// All duties. Each has at most one owner at a time.
 pub const DUTIES: &[&str] = &[OUTS, WORK];
 
-/// One process of one proxy. The name outlives restarts, the incarnation is new with each.
+/// One process of one proxy. The name survives restarts; the incarnation is new with each start.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Who {
     pub name: String,
@@ -29,74 +29,74 @@
     }
 }
 
-/// Which backends are out, as an owner publishes it.
+/// The set of backends that are out of service, as published by the duty's owner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Publication {
     pub token: u64,
     pub version: u64,
     pub outs: BTreeSet<String>,
-    /// For the record alone: the token decides.
+    /// Informational only: receivers decide by the token.
     pub owner: String,
 }
 
-/// A session's sign of life, and what it has to say of itself.
+/// Heartbeat of a session, with the sender's current state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Renewal {
     pub who: Who,
-    /// By the sender's own clock, which nobody else reads: it comes back with the answer.
+    /// In the sender's own clock. Only the sender reads it, from the answer that echoes it.
     pub sent_us: u64,
-    /// Whether it would own duties.
+    /// Whether this process accepts ownership of duties.
     pub willing: bool,
-    /// A voter's disk, or that of another proxy, takes writes.
+    /// Whether the disk of this process accepts writes.
     pub writable: bool,
     pub voter: bool,
     pub taken_token: u64,
     pub taken: u64,
-    /// The version that its queries are decided under.
+    /// The version that the proxy's query dispatch has applied.
     pub acted: u64,
-    /// The version that it has heard to be agreed.
+    /// The newest committed version that the process has heard of.
     pub heard: u64,
-    /// The version that its disk holds, where it has one that takes writes.
+    /// The version that its disk holds, if the disk accepts writes.
     pub kept: u64,
     pub terms: Terms,
     pub seen: Seen,
-    /// The revision of the work that it has, as the duty's owner.
+    /// The revision of the maintenance plans that it holds as owner of the work duty.
     pub work: Option<u64>,
 }
 
-/// The leader's answer, given only once a majority has confirmed that it still leads.
+/// The leader's answer to a renewal, sent only after a majority has confirmed that it still leads.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Renewed {
     pub who: Who,
     pub sent_us: u64,
-    /// Another process of the same name has come since: this one owns nothing any more.
+    /// A newer process of the same name has taken the session; this one no longer owns anything.
     pub superseded: bool,
-    /// What it owns, and the tokens.
+    /// Duties that the process owns, with their fencing tokens.
     pub duties: Vec<(String, u64)>,
     pub version: u64,
-    /// The tokens last given: what a receiver that has restarted must not fall behind.
+    /// The last token granted for each duty. A restarted receiver must not accept anything below it.
     pub tokens: Vec<(String, u64)>,
-    /// To an owner that has not heard of `version` yet.
+    /// Sent to an owner that has not heard of `version` yet.
     pub outs: Option<BTreeSet<String>>,
     pub leader: String,
-    /// While there is a plan: its revision, and the backends that are next to go.
+    /// While a plan is open: its revision, and the backends that are scheduled to leave next.
     pub next: Option<(u64, Vec<String>)>,
-    /// This proxy is itself to be drained for work.
+    /// This proxy itself is to be drained for maintenance.
     pub drained: bool,
-    /// To the owner of the work, and what all proxies see.
+    /// Sent to the owner of the work duty: the plans, and the aggregated observations of all proxies.
     pub work: Option<Box<Desk>>,
 }
 
-/// What the owner of the work has before it.
+/// Input for the owner of the work duty.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Desk {
     pub revision: u64,
-    /// Where it has another revision.
+    /// Sent if the owner holds a different revision.
     pub work: Option<Work>,
     pub sight: Sight,
 }
 
-/// What is told of one proxy.
+/// Status of one proxy, as reported to operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
     pub name: String,
@@ -107,44 +107,46 @@
     pub token: u64,
     pub taken: u64,
     pub acted: u64,
-    /// Since the leader last heard of it.
+    /// Time since the leader last heard from it.
     pub silent_us: u64,
 }
 
+/// Status of the fleet, as reported to operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     pub leader: String,
     pub term: u64,
     pub version: u64,
     pub outs: BTreeSet<String>,
-    /// Owner, where there is one, and the token last given.
+    /// Current owner, if any, and the last token granted.
     pub duties: BTreeMap<String, (Option<String>, u64)>,
     pub members: Vec<MemberStatus>,
-    /// Proxies that have a session by the agreed record and were not heard of by this leader.
+    /// Proxies that have a session in the committed state but have not been heard from by this leader.
     pub unheard: Vec<String>,
-    /// Proxies that left and may send all the same.
+    /// Proxies that have left but may still send queries.
     pub absent: Vec<Absent>,
 }
 
-/// What an operator asks of the fleet.
+/// A request from an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Ask {
     Command(Command),
     Status,
-    /// The plans, and what the leader has been told of all proxies.
+    /// The plans, and the leader's aggregated observations of all proxies.
     Work,
 }
 
+/// The answer to a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Told {
     Done(Outcome),
     Status(Box<Status>),
     Work(Box<(Work, Sight)>),
-    /// For now: nobody leads, or too much is in hand.
+    /// Temporary failure: there is no leader, or too many calls are in progress.
     NotNow(String),
 }
 
-/// A voter's place at the founding.
+/// A voter's state while the replicated log is being created.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Seat {
     pub id: u64,
@@ -152,27 +154,28 @@
     pub started: bool,
 }
 
-/// The voters by name, and the number that each one's disk was given when it was new.
+/// The voters by name, with the id that each disk was given when it was new.
 pub type Roster = BTreeMap<String, u64>;
 
+/// A message between two processes of the fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Word {
-    /// First on each connection.
+    /// First message on each connection.
     Hello {
         fleet: String,
         who: Who,
         voter: bool,
     },
-    /// Says that the connection lives.
+    /// Keepalive.
     Beat,
     Seat(Seat),
-    /// The engine's, as it writes them.
+    /// A message of the Raft library, in its own encoding.
     Agree(Vec<u8>),
     Renew(Renewal),
     Renewed(Renewed),
-    /// Something has changed for you: renew at once.
+    /// Asks the process to renew at once, because something that concerns it has changed.
     Nudge(Who),
-    /// An owner has let go.
+    /// An owner gives up a duty.
     Release {
         duty: String,
         token: u64,
@@ -188,19 +191,19 @@
         call: u64,
         told: Told,
     },
-    /// Passed on by a voter at most once: never by one that was passed it.
+    /// Forwarded by a voter at most once: a forwarded message is not forwarded again.
     Publish {
         publication: Publication,
         passed: bool,
     },
-    /// The fence has seen a higher token.
+    /// The receiver's fence has seen a higher token.
     Stale {
         duty: String,
         token: u64,
         seen: u64,
     },
-    /// This voter can't serve sessions for now.
+    /// This voter cannot serve sessions at the moment.
     Away,
-    /// This process ends, and has answered all that it took.
+    /// This process is exiting and has answered all queries that it accepted.
     Part(Who),
 }
--- a/crates/fleet/src/work.rs
+++ b/crates/fleet/src/work.rs
@@ -1,6 +1,6 @@
-//! Work plans as the agreed log has them: machines out for work, the stage that each is at, and the bounds that
-//! no stage may break. The same on every voter; no clock. Called by `state` for each agreed command; `order`
-//! reads it to settle who goes next.
+//! Maintenance plans in the replicated state: the machines to be taken out, the stage of each, and the bounds
+//! that every step must respect. Deterministic and without a clock, so that all voters agree. `state` applies
+//! committed commands to it; `scheduler` reads it to choose the next steps.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,31 +8,32 @@
 
 use crate::words::Who;
 
-/// Plans remembered, those that have ended among them.
+/// Plans remembered, including those that are over.
 const MOST_PLANS: usize = 32;
-/// Machines of one plan.
+/// Maximum number of machines in one plan.
 pub const MOST_MACHINES: usize = 2_000;
-/// Of a name, a reason, an address, in bytes.
+/// Maximum length of a name, a reason or an address, in bytes.
 const MOST_TEXT: usize = 300;
 
+/// The stage of a machine in a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
     Proposed,
-    /// Next to go; proxies may object.
+    /// Scheduled to leave next; proxies may object.
     Agreed,
-    /// Nothing new is to be sent there.
+    /// Out of service: proxies must send nothing new to it.
     Leaving,
-    /// Proved: nothing is sent there by anybody.
+    /// Proved to be out: no proxy sends anything to it.
     Out,
     /// The call that begins work may have been made.
     Beginning,
     Working,
-    /// Its work went wrong: it stays out until an operator says that it is mended.
+    /// Its work failed. It stays out until an operator reports that it is done.
     Failed,
-    /// Its work is over; it waits for its turn to come back.
+    /// Its work is done; it waits for its turn to return to service.
     Mended,
-    /// Used again, and cold.
+    /// In service again, but still cold.
     Back,
     Warm,
     Done,
@@ -40,13 +41,14 @@
 }
 
 impl Stage {
-    /// No proxy is to send anything there.
+    /// Whether proxies must send nothing to it.
     pub fn is_out(self) -> bool {
         use Stage::{Beginning, Failed, Leaving, Mended, Out, Working};
         matches!(self, Leaving | Out | Beginning | Working | Failed | Mended)
     }
 
-    /// Takes a place under the bounds: one that comes back cold is not yet what it was.
+    /// Whether it counts against the plan's bounds. A cold machine does: it does not have its former capacity
+    /// yet.
     pub fn counts(self) -> bool {
         self.is_out() || matches!(self, Stage::Agreed | Stage::Back)
     }
@@ -55,12 +57,12 @@
         matches!(self, Stage::Done | Stage::Cancelled)
     }
 
-    /// Whether it can be called back: nobody has begun work there.
+    /// Whether it can be called back, because no work has begun.
     pub fn may_return(self) -> bool {
         matches!(self, Stage::Agreed | Stage::Leaving | Stage::Out)
     }
 
-    /// What the owner of the duty may do; all else is an operator's word, or nobody's.
+    /// Transitions open to the owner of the work duty. All others are reserved to operators, or not allowed.
     fn may_become(self, to: Stage) -> bool {
         use Stage::{
             Agreed, Back, Beginning, Cancelled, Done, Leaving, Mended, Out, Proposed, Warm, Working,
@@ -92,6 +94,7 @@
     }
 }
 
+/// The kind of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Is {
@@ -99,23 +102,24 @@
     Proxy,
 }
 
+/// A machine of a plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Machine {
     pub is: Is,
     pub zone: String,
     pub cell: u32,
-    /// A proxy that votes.
+    /// A proxy that is a voter.
     pub votes: bool,
     pub stage: Stage,
-    /// Of its last step.
+    /// The reason for its last step.
     pub why: String,
     /// The published version from which on it is out.
     pub version: u64,
-    /// The work's revision at its last step.
+    /// The plans' revision at its last step.
     pub revision: u64,
-    /// When its last step was agreed by its owner's wall clock, for the record alone.
+    /// When its last step was taken, by its owner's wall clock. Informational only.
     pub wall_us: u64,
-    /// How often it was put back before any work.
+    /// How often it was put back before any work began.
     pub put_back: u32,
 }
 
@@ -136,29 +140,29 @@
     }
 }
 
-/// What a plan permits. Times in microseconds.
+/// Limits that a plan sets. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Bounds {
     pub most_out: u32,
     pub most_out_zone: u32,
     pub most_out_cell: u32,
-    /// Machines that may be cold at a time.
+    /// Machines that may be cold at the same time.
     pub most_cold: u32,
-    /// What the backends in service can carry, over what is measured to be needed.
+    /// Minimum ratio of the capacity in service to the measured demand.
     pub least_spare: f64,
-    /// Part of all queries.
+    /// As a fraction of all queries.
     pub most_rejected: f64,
-    /// Part of all proxies.
+    /// As a fraction of all proxies.
     pub most_silent: f64,
-    /// Minutes of the day, UTC, in which nothing goes out: from, until.
+    /// Ranges of minutes of the day (UTC), from and until, in which no machine is taken out.
     pub quiet: Vec<(u32, u32)>,
-    /// How long a step may take before it is told of, and put back where that is possible.
+    /// How long a step may take before it is reported, and reversed if that is possible.
     pub hang_us: u64,
     pub work_us: u64,
     pub warm_us: u64,
-    /// How long all must have been well again before the next goes.
+    /// How long there must have been no trouble before the next machine is taken out.
     pub calm_us: u64,
-    /// Whether the last ready backend of a cell may go.
+    /// Whether the last ready backend of a cell may be taken out.
     pub last_of_cell: bool,
 }
 
@@ -186,13 +190,13 @@
 pub struct Plan {
     pub why: String,
     pub bounds: Bounds,
-    /// Where work is begun; without one it counts as begun once a machine is out.
+    /// Address of the maintenance system. Without one, work counts as begun once a machine is out.
     pub maintenance: Option<String>,
     pub paused: bool,
     pub cancelled: bool,
-    /// What it waits for, as its owner said last.
+    /// What the plan is waiting for, as its owner last reported.
     pub waits: String,
-    /// In the order in which plans were taken.
+    /// Plans are numbered in the order in which they were added.
     pub number: u64,
     pub machines: BTreeMap<String, Machine>,
 }
@@ -203,7 +207,7 @@
     }
 }
 
-/// One step of one machine, as the owner of the duty asks for it.
+/// One step of one machine, proposed by the owner of the work duty.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
     pub token: u64,
@@ -211,12 +215,13 @@
     pub machine: String,
     pub from: Stage,
     pub to: Stage,
-    /// Of the machine, as the owner knows it: a step meant for an earlier time out is none for this one.
+    /// The machine's revision as known to the owner. A step meant for an earlier time out is refused.
     pub revision: u64,
     pub why: String,
     pub wall_us: u64,
 }
 
+/// An operator's command to a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Say {
     Pause,
@@ -224,7 +229,7 @@
     Cancel,
 }
 
-/// An operator's word on a plan, or a machine of one.
+/// An operator's command on a plan or a machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Order {
     Add {
@@ -235,26 +240,27 @@
         name: String,
         say: Say,
     },
-    /// Work on a machine is over, well or not.
+    /// Work on a machine is over, successfully or not.
     Ended {
         machine: String,
         well: bool,
     },
-    /// An operator vouches that this proxy is down and will send nothing.
+    /// An operator confirms that this proxy is down and will send nothing.
     Forget {
         name: String,
     },
 }
 
+/// All maintenance plans.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Work {
-    /// Grows with each change.
+    /// Incremented by each change.
     pub revision: u64,
     pub plans: BTreeMap<String, Plan>,
     taken: u64,
 }
 
-/// How many machines of all plans are out or about to be, in all, by zone and by cell.
+/// Machines of all plans that are out or about to be: in total, by zone and by cell.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Count {
     pub all: u32,
@@ -265,7 +271,7 @@
 }
 
 impl Work {
-    /// Backends out for the whole fleet by reason of work.
+    /// Backends that are out of service for maintenance.
     pub fn outs(&self) -> BTreeSet<String> {
         let of = |plan: &Plan| {
             let out = plan.machines.iter().filter(|(_, one)| one.is == Is::Backend && one.stage.is_out());
@@ -274,7 +280,7 @@
         self.plans.values().flat_map(of).collect()
     }
 
-    /// Proxies that are to be drained.
+    /// Whether this proxy is to be drained.
     pub fn drained(&self, name: &str) -> bool {
         let of = |plan: &Plan| {
             plan.machines.get(name).is_some_and(|one| one.is == Is::Proxy && one.stage.is_out())
@@ -282,7 +288,7 @@
         self.plans.values().any(of)
     }
 
-    /// Machines that are next to go, with the revision at which each came to be.
+    /// Backends that are scheduled to leave next.
     pub fn agreed(&self) -> Vec<String> {
         let of = |plan: &Plan| {
             let next = plan.machines.iter();
@@ -310,8 +316,8 @@
         count
     }
 
-    /// Why no more of this zone and cell may go out by a plan's bounds. All plans' machines count, and the
-    /// narrowest bound of any open plan that has something out stands for all.
+    /// Why this machine may not be taken out under the bounds on machines out, if so. Machines of all plans
+    /// count, and the tightest bound of any open plan with a machine out applies.
     pub fn over(&self, plan: &Plan, machine: &Machine, voters: usize) -> Option<String> {
         let count = self.count();
         let others = self.open().map(|(_, other)| other);
@@ -353,7 +359,7 @@
         (one.stage, one.why, one.revision, one.wall_us) = (to, why.to_owned(), revision, wall_us);
     }
 
-    /// The owner's step. `token` is the last one given for the duty.
+    /// Applies an owner's step. `token` is the last one granted for the duty.
     pub fn step(&mut self, step: &Step, token: u64, voters: usize) -> Result<(), String> {
         if step.token != token {
             return Err(format!("token {} of the duty, {token} is the last one given", step.token));
@@ -385,14 +391,14 @@
         Ok(())
     }
 
-    /// The version that a machine which is leaving is out under.
+    /// Sets the version under which a machine leaves or returns.
     pub fn leaves(&mut self, plan: &str, machine: &str, version: u64) {
         if let Some(one) = self.plans.get_mut(plan).and_then(|plan| plan.machines.get_mut(machine)) {
             one.version = version;
         }
     }
 
-    /// What a plan waits for, by the word of the owner with this token.
+    /// Records what a plan is waiting for, if the report carries the last token granted (`last`).
     pub fn waits(&mut self, token: u64, last: u64, plan: &str, why: &str) -> Result<(), String> {
         if token != last {
             return Err(format!("token {token} of the duty, {last} is the last one given"));
@@ -427,7 +433,7 @@
                 self.moved(&plan, machine, to, why, 0);
                 Ok(())
             }
-            // The state's part.
+            // Handled by `state::Fleet`.
             Order::Forget { .. } => Ok(()),
         }
     }
@@ -447,7 +453,7 @@
             return Err(format!("a text of more than {MOST_TEXT} bytes"));
         }
         for machine in plan.machines.keys() {
-            // Refused, not joined: whose bounds and whose work it is must be told by one plan.
+            // Refused rather than merged: a machine's bounds and its work must come from one plan.
             if let Some((other, _)) = self.find(machine) {
                 return Err(format!("{machine} is in plan {other:?} already"));
             }
@@ -487,28 +493,27 @@
     }
 }
 
-/// As long as a reason in the log may be.
+/// Truncates a reason to the length allowed in the log.
 pub fn cut(text: &str) -> String {
     text.chars().take(MOST_TEXT).collect()
 }
 
-/// What a proxy's process is bound to by its file, as the agreed record has it: whether it may still send when it
-/// has heard nobody.
+/// Whether a proxy may still send when it is out of contact with the fleet, according to its fleet file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Terms {
-    /// Ends its right to send by its own clock when it has heard nobody for a lease.
+    /// Its permission to send ends by its own clock after a lease without contact.
     pub drains: bool,
-    /// Sends nothing after a start before it has heard the version in force.
+    /// After a start, it sends nothing before it knows the version in force.
     pub waits: bool,
-    /// The longest that an execution of it may take.
+    /// The longest that one of its executions may take.
     pub longest_us: u64,
 }
 
-/// A proxy that has left, and may send all the same.
+/// A proxy that has left and may still send.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Absent {
     pub who: Who,
     pub terms: Terms,
-    /// It said that it ends, and had answered all.
+    /// It announced its exit and had answered all queries.
     pub parted: bool,
 }
