--- a/crates/carry/src/file.rs
+++ b/crates/carry/src/file.rs
@@ -5,9 +5,9 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use crankpick_fleet::lease::Times;
+use crankpick_fleet::lease::Timing;
 use crankpick_fleet::node::Plan;
-use crankpick_fleet::work::Terms;
+use crankpick_fleet::work::SendPolicy;
 use serde::Deserialize;
 use toml::Spanned;
 
@@ -135,7 +135,7 @@
     if !LEASES.contains(&lease_us) {
         return at(lease_at, format!("lease_us {lease_us}: from {} to {}", LEASES.start(), LEASES.end()));
     }
-    let mut times = Times::new(lease_us);
+    let mut times = Timing::new(lease_us);
     if let Some(renew) = &text.renew_us {
         times.renew_us = *renew.get_ref();
         if times.renew_us == 0 || times.renew_us.saturating_mul(3) > lease_us {
@@ -161,7 +161,7 @@
             voters: text.voters.iter().map(|voter| voter.name.get_ref().clone()).collect(),
             name,
             times,
-            terms: Terms { drains, waits: !unheard, longest_us: 0 },
+            terms: SendPolicy { drains, waits: !unheard, longest_us: 0 },
         },
         state: text.state.map(Spanned::into_inner),
         wait_us,
--- a/crates/carry/src/handle.rs
+++ b/crates/carry/src/handle.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crankpick_fleet::sight::View;
-use crankpick_fleet::words::{Ask, Publication, Told};
+use crankpick_fleet::messages::{Ask, Publication, Told};
+use crankpick_fleet::observation::View;
 use tokio::sync::{mpsc, oneshot, watch};
 
 use crate::clock::now_us;
@@ -23,7 +23,7 @@
         version: u64,
         busy: BTreeSet<String>,
     },
-    Sees(View),
+    View(View),
     /// Whether nothing at all is in hand.
     Empty(bool),
     /// The process ends, with all answered; said once this is.
--- a/crates/carry/src/links.rs
+++ b/crates/carry/src/links.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use crankpick_fleet::messages::Message;
 use crankpick_fleet::node::Link;
-use crankpick_fleet::words::Word;
 use tokio::io::{AsyncWriteExt, BufReader, BufWriter};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{self, Receiver, Sender};
@@ -29,7 +29,7 @@
 const PAUSE: Duration = Duration::from_millis(20);
 
 pub enum Heard {
-    Word(Link, Box<Word>),
+    Message(Link, Box<Message>),
     Closed(Link),
 }
 
@@ -54,7 +54,7 @@
 impl Links {
     pub fn new(
         voters: BTreeMap<String, SocketAddr>,
-        hello: &Word,
+        hello: &Message,
         lease_us: u64,
         heard: Sender<Heard>,
     ) -> Self {
@@ -70,7 +70,7 @@
     }
 
     /// From now on connections begin with this; the ones opened from here are told too.
-    pub fn hello(&mut self, hello: &Word) {
+    pub fn hello(&mut self, hello: &Message) {
         let frame = frames::framed(hello).unwrap_or_default();
         self.hello.send_replace(frame.clone());
         for (link, open) in &self.open {
@@ -80,7 +80,7 @@
         }
     }
 
-    pub fn say(&mut self, link: &Link, word: &Word) {
+    pub fn say(&mut self, link: &Link, word: &Message) {
         if !self.open.contains_key(link) {
             let Link::Voter(name) = link else { return };
             let Some(address) = self.voters.get(name).copied() else { return };
@@ -150,7 +150,7 @@
             let why = match timeout(CONNECT, self.opened(&first)).await {
                 Ok(Ok(stream)) => {
                     let dead = 2 * self.beat;
-                    let beat = frames::framed(&Word::Beat);
+                    let beat = frames::framed(&Message::Beat);
                     lives(stream, &self.link, &mut waiting, &self.heard, dead, beat, &self.bytes_in).await
                 }
                 Ok(Err(wrong)) => wrong.to_string(),
@@ -201,19 +201,19 @@
                 Err(_) => return "silent".to_owned(),
             };
             bytes_in.fetch_add(room.len() as u64 + 4, Ordering::Relaxed);
-            if word == Word::Beat {
+            if word == Message::Beat {
                 if answers {
                     let _ = asked.try_send(());
                 }
                 continue;
             }
-            if heard.send(Heard::Word(link.clone(), Box::new(word))).await.is_err() {
+            if heard.send(Heard::Message(link.clone(), Box::new(word))).await.is_err() {
                 return "the fleet's part has ended".to_owned();
             }
         }
     };
     let writing = async {
-        let answer = frames::framed(&Word::Beat).unwrap_or_default();
+        let answer = frames::framed(&Message::Beat).unwrap_or_default();
         let mut next = Instant::now() + dead / 2;
         let mut idle = 0;
         loop {
--- a/crates/carry/src/plan_file.rs
+++ b/crates/carry/src/plan_file.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use crankpick_fleet::work::{Bounds, Is, Machine, Plan, MOST_MACHINES};
+use crankpick_fleet::work::{Bounds, Machine, MachineKind, Plan, MAX_MACHINES};
 use serde::{Deserialize, Serialize};
 use toml::Spanned;
 
@@ -189,7 +189,7 @@
         };
         for chosen in &self.machines {
             if let Some(name) = &chosen.proxy {
-                add(name, Machine::new(Is::Proxy, "", 0, voters.contains(name)))?;
+                add(name, Machine::new(MachineKind::Proxy, "", 0, voters.contains(name)))?;
                 continue;
             }
             let fits = |(id, zone, cell): &&(String, String, u32)| match &chosen.backend {
@@ -198,7 +198,7 @@
             };
             let mut some = false;
             for (id, zone, cell) in listed.iter().filter(fits) {
-                add(id, Machine::new(Is::Backend, zone, *cell, false))?;
+                add(id, Machine::new(MachineKind::Backend, zone, *cell, false))?;
                 some = true;
             }
             if !some {
@@ -208,8 +208,8 @@
                 });
             }
         }
-        if machines.len() > MOST_MACHINES {
-            return Err(format!("{} machines: {MOST_MACHINES} at most", machines.len()));
+        if machines.len() > MAX_MACHINES {
+            return Err(format!("{} machines: {MAX_MACHINES} at most", machines.len()));
         }
         let Draft { name, why, maintenance, bounds, .. } = self;
         let (paused, cancelled, waits, number) = (false, false, String::new(), 0);
--- a/crates/carry/src/run.rs
+++ b/crates/carry/src/run.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use crankpick_fleet::kept::{Batch, Disk, Kept};
+use crankpick_fleet::messages::{Publication, Told};
 use crankpick_fleet::node::{Link, Node, Output};
-use crankpick_fleet::words::{Publication, Told};
+use crankpick_fleet::storage::{Batch, Disk, PersistentState};
 use tokio::net::TcpStream;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -94,11 +94,11 @@
     Ok(Handle { calls, taken: on_taken, heard: on_heard, drain: on_drain, right, longest_us })
 }
 
-fn opened(file: &FleetFile) -> (Keeper, Kept, Option<String>) {
-    let Some(folder) = &file.state else { return (Keeper::Nothing, Kept::default(), None) };
+fn opened(file: &FleetFile) -> (Keeper, PersistentState, Option<String>) {
+    let Some(folder) = &file.state else { return (Keeper::Nothing, PersistentState::default(), None) };
     match Store::open(folder) {
         Ok((store, kept)) => (Keeper::Store(Box::new(store)), kept, None),
-        Err(wrong) => (Keeper::Down(wrong.to_string()), Kept::default(), Some(wrong.to_string())),
+        Err(wrong) => (Keeper::Down(wrong.to_string()), PersistentState::default(), Some(wrong.to_string())),
     }
 }
 
@@ -138,7 +138,7 @@
                 let mut word = Some(word);
                 for _ in 0..MOST_AT_ONCE {
                     match word {
-                        Some(Heard::Word(link, word)) => node.receive(now_us(), link, *word),
+                        Some(Heard::Message(link, word)) => node.receive(now_us(), link, *word),
                         Some(Heard::Closed(link)) => {
                             node.connection_closed(now_us(), &link);
                             if matches!(link, Link::Conn(_)) {
@@ -162,7 +162,7 @@
                     }
                 },
                 Some(Call::Acted { version, busy }) => node.version_applied(now_us(), version, busy),
-                Some(Call::Sees(view)) => node.set_view(view),
+                Some(Call::View(view)) => node.set_view(view),
                 Some(Call::Empty(empty)) => node.set_idle(now_us(), empty),
                 Some(Call::Part(done)) => {
                     node.announce_exit(now_us());
@@ -230,7 +230,7 @@
             }
         }
         // Only once what was heard has been passed on: whoever waits for this looks there next.
-        if node.session.answered() && !*ends.heard.borrow() {
+        if node.session.knows_current_version() && !*ends.heard.borrow() {
             ends.heard.send_replace(true);
         }
         // Whoever asked may have gone.
--- a/crates/carry/src/store.rs
+++ b/crates/carry/src/store.rs
@@ -3,7 +3,7 @@
 
 use std::path::Path;
 
-use crankpick_fleet::kept::{Batch, Disk, Kept};
+use crankpick_fleet::storage::{Batch, Disk, PersistentState};
 use protobuf::Message;
 use redb::{Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
 
@@ -44,7 +44,7 @@
 
 impl Store {
     /// Opens the file in this folder, or makes both; what is there is read whole.
-    pub fn open(folder: &Path) -> Result<(Self, Kept), Wrong> {
+    pub fn open(folder: &Path) -> Result<(Self, PersistentState), Wrong> {
         std::fs::create_dir_all(folder).map_err(|wrong| broken(format!("{}: {wrong}", folder.display())))?;
         let path = folder.join("fleet.redb");
         let opened = || {
@@ -60,18 +60,18 @@
     }
 
     /// On a disk that a test has its hands on.
-    pub fn over(disk: impl StorageBackend) -> Result<(Self, Kept), Wrong> {
+    pub fn over(disk: impl StorageBackend) -> Result<(Self, PersistentState), Wrong> {
         Self::read(Database::builder().create_with_backend(disk).map_err(broken)?)
     }
 
-    fn read(database: Database) -> Result<(Self, Kept), Wrong> {
+    fn read(database: Database) -> Result<(Self, PersistentState), Wrong> {
         let mut store = Store { database };
         let kept = match store.kept().map_err(broken)? {
             Some(kept) => kept,
             None => {
                 let seat = fastrand::u64(1..);
                 store.found(seat).map_err(broken)?;
-                Kept::new(seat)
+                PersistentState::new(seat)
             }
         };
         // It may have been opened where nothing can be written any more: better known now.
@@ -94,7 +94,7 @@
         Ok(())
     }
 
-    fn kept(&mut self) -> Result<Option<Kept>, Box<dyn std::error::Error>> {
+    fn kept(&mut self) -> Result<Option<PersistentState>, Box<dyn std::error::Error>> {
         let read = self.database.begin_read()?;
         let meta = match read.open_table(META) {
             Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
@@ -102,7 +102,7 @@
         };
         let value = |key| meta.get(key).map(|value| value.map(|value| value.value().to_vec()));
         let Some(seat) = value(SEAT)? else { return Ok(None) };
-        let mut kept = Kept::new(u64::from_be_bytes(seat.as_slice().try_into()?));
+        let mut kept = PersistentState::new(u64::from_be_bytes(seat.as_slice().try_into()?));
         if let Some(roster) = value(ROSTER)? {
             kept.roster = Some(postcard::from_bytes(&roster)?);
         }
@@ -118,7 +118,7 @@
         if let Some(hard) = value(HARD)? {
             let hard = Some(Message::parse_from_bytes(&hard)?);
             // A commit that is older than the snapshot counts as far as that.
-            kept.log.absorb(&Batch { hard, ..Batch::default() });
+            kept.log.apply(&Batch { hard, ..Batch::default() });
         }
         Ok(Some(kept))
     }
--- a/crates/carry/src/upkeep.rs
+++ b/crates/carry/src/upkeep.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use crankpick_fleet::node::WorkStart;
-use crankpick_fleet::order::Begin;
+use crankpick_fleet::scheduler::WorkStartRequest;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::client::conn::http1;
 use hyper::{Request, StatusCode};
@@ -21,7 +21,7 @@
 const PATIENCE: Duration = Duration::from_millis(1_800);
 const MOST_ANSWER: usize = 4_096;
 
-pub async fn begin(call: &Begin) -> WorkStart {
+pub async fn begin(call: &WorkStartRequest) -> WorkStart {
     match timeout(PATIENCE, asked(call)).await {
         Ok(Ok((StatusCode::OK, _))) => WorkStart::Started,
         Ok(Ok((StatusCode::CONFLICT, answer))) => match answer["seen"].as_u64() {
@@ -34,7 +34,7 @@
     }
 }
 
-async fn asked(call: &Begin) -> Result<(StatusCode, Value), String> {
+async fn asked(call: &WorkStartRequest) -> Result<(StatusCode, Value), String> {
     fn told(wrong: impl std::fmt::Display) -> String {
         wrong.to_string()
     }
--- a/crates/carry/tests/power.rs
+++ b/crates/carry/tests/power.rs
@@ -5,8 +5,8 @@
 use std::sync::{Arc, Mutex};
 
 use crankpick_carry::store::Store;
-use crankpick_fleet::kept::{Batch, Disk, Kept};
-use crankpick_fleet::words::Publication;
+use crankpick_fleet::messages::Publication;
+use crankpick_fleet::storage::{Batch, Disk, PersistentState};
 use raft::eraftpb::{Entry, HardState, Snapshot};
 use redb::StorageBackend;
 
@@ -124,7 +124,7 @@
     all
 }
 
-fn same(one: &Kept, other: &Kept) -> bool {
+fn same(one: &PersistentState, other: &PersistentState) -> bool {
     one.seat == other.seat
         && one.taken == other.taken
         && one.roster == other.roster
@@ -133,13 +133,13 @@
 }
 
 /// What the store should hold after each batch, and how many operations had been done by then.
-fn played() -> (Recorded, Vec<(usize, Kept)>) {
+fn played() -> (Recorded, Vec<(usize, PersistentState)>) {
     let disk = Recorded::default();
     let (mut store, mut kept) = Store::over(disk.clone()).expect("a new disk");
     let mut states = vec![(disk.so_far(), kept.clone())];
     for batch in batches() {
         store.write(&batch).expect("room");
-        kept.absorb(&batch);
+        kept.apply(&batch);
         states.push((disk.so_far(), kept.clone()));
     }
     // Not closed: power fails.
--- a/crates/carry/tests/serialized_format.rs
+++ b/crates/carry/tests/serialized_format.rs
@@ -6,20 +6,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crankpick_carry::frames::{framed, read};
-use crankpick_fleet::sight::{Coarse, Objection, Seen, Sees, Sight, Summed, View};
-use crankpick_fleet::state::{Command, Current, Duty, Fleet, Outcome};
-use crankpick_fleet::words::{
-    Ask, Desk, MemberStatus, Publication, Renewal, Renewed, Seat, Status, Told, Who, Word,
+use crankpick_fleet::messages::{
+    Ask, MemberStatus, Message, ProcessId, Publication, Renewal, Renewed, Seat, Status, Told, WorkContext,
+};
+use crankpick_fleet::observation::{
+    BackendSummary, BackendView, FleetView, Objection, ProxyReport, Quantized, View,
+};
+use crankpick_fleet::state::{Command, CurrentSession, Duty, Fleet, Outcome};
+use crankpick_fleet::work::{
+    Bounds, DepartedProxy, Machine, MachineKind, Order, Plan, Say, SendPolicy, Stage, Step, Work,
 };
-use crankpick_fleet::work::{Absent, Bounds, Is, Machine, Order, Plan, Say, Stage, Step, Terms, Work};
 use crankpick_test_support::Fixtures;
 
-fn who() -> Who {
-    Who { name: "n1".into(), incarnation: 0x1234_5678_9abc }
+fn who() -> ProcessId {
+    ProcessId { name: "n1".into(), incarnation: 0x1234_5678_9abc }
 }
 
-fn terms() -> Terms {
-    Terms { drains: true, waits: false, longest_us: 2_500_000 }
+fn terms() -> SendPolicy {
+    SendPolicy { drains: true, waits: false, longest_us: 2_500_000 }
 }
 
 fn publication() -> Publication {
@@ -66,7 +70,7 @@
         Stage::Cancelled,
     ];
     let machine = |index: usize, stage| Machine {
-        is: if index.is_multiple_of(2) { Is::Backend } else { Is::Proxy },
+        is: if index.is_multiple_of(2) { MachineKind::Backend } else { MachineKind::Proxy },
         zone: "a".into(),
         cell: 3,
         votes: index == 1,
@@ -99,9 +103,9 @@
     work
 }
 
-fn sight() -> Sight {
-    let summed = Summed { zone: "a".into(), cell: 3, load: 1.5, max: 8.25, by: 5, lost_by: 1 };
-    Sight {
+fn sight() -> FleetView {
+    let summed = BackendSummary { zone: "a".into(), cell: 3, load: 1.5, max: 8.25, by: 5, lost_by: 1 };
+    FleetView {
         backends: BTreeMap::from([("s-1".into(), summed)]),
         proxies: 9,
         in_touch: 8,
@@ -109,7 +113,7 @@
         queries: 1_000.5,
         rejected: 0.25,
         silent: vec!["n9".into()],
-        ..Sight::default()
+        ..FleetView::default()
     }
 }
 
@@ -165,14 +169,20 @@
 }
 
 fn renewal() -> Renewal {
-    let sees = Sees { zone: "a".into(), cell: 3, load: Coarse::of(2.0), max: Coarse::of(9.0), lost: true };
+    let sees = BackendView {
+        zone: "a".into(),
+        cell: 3,
+        load: Quantized::of(2.0),
+        max: Quantized::of(9.0),
+        lost: true,
+    };
     let view = View {
         backends: BTreeMap::from([("s-1".into(), sees)]),
-        queries: Coarse::of(100.0),
-        rejected: Coarse::of(1.0),
+        queries: Quantized::of(100.0),
+        rejected: Quantized::of(1.0),
     };
     let objection = Objection { machine: "s-1".into(), why: "strained".into(), for_us: 31 };
-    let seen = Seen {
+    let seen = ProxyReport {
         revision: 23,
         objections: vec![objection],
         busy: BTreeSet::from(["s-2".into()]),
@@ -208,7 +218,7 @@
         leader: "n2".into(),
         next: Some((23, vec!["s-3".into()])),
         drained: true,
-        work: Some(Box::new(Desk { revision: 23, work: Some(work()), sight: sight() })),
+        work: Some(Box::new(WorkContext { revision: 23, work: Some(work()), sight: sight() })),
     }
 }
 
@@ -232,35 +242,35 @@
         duties: BTreeMap::from([("outs".into(), (Some("n1".into()), 7))]),
         members: vec![member],
         unheard: vec!["n3".into()],
-        absent: vec![Absent { who: who(), terms: terms(), parted: true }],
+        absent: vec![DepartedProxy { who: who(), terms: terms(), parted: true }],
     }
 }
 
-fn words() -> Vec<(String, Word)> {
+fn words() -> Vec<(String, Message)> {
     let (call, duty) = (61, "outs".to_owned());
-    let ask = |ask| Word::Ask { who: who(), call, ask };
-    let told = |told| Word::Told { who: who(), call, told };
+    let ask = |ask| Message::Ask { who: who(), call, ask };
+    let told = |told| Message::Told { who: who(), call, told };
     let mut words = vec![
-        ("hello".into(), Word::Hello { fleet: "f".into(), who: who(), voter: true }),
-        ("beat".into(), Word::Beat),
+        ("hello".into(), Message::Hello { fleet: "f".into(), who: who(), voter: true }),
+        ("beat".into(), Message::Beat),
         (
             "seat".into(),
-            Word::Seat(Seat { id: 9, roster: Some(BTreeMap::from([("n1".into(), 9)])), started: true }),
+            Message::Seat(Seat { id: 9, roster: Some(BTreeMap::from([("n1".into(), 9)])), started: true }),
         ),
-        ("agree".into(), Word::Agree(vec![0, 1, 0xff])),
-        ("renew".into(), Word::Renew(renewal())),
-        ("renewed".into(), Word::Renewed(renewed())),
-        ("nudge".into(), Word::Nudge(who())),
-        ("release".into(), Word::Release { duty: duty.clone(), token: 7, who: who() }),
+        ("agree".into(), Message::Agree(vec![0, 1, 0xff])),
+        ("renew".into(), Message::Renew(renewal())),
+        ("renewed".into(), Message::Renewed(renewed())),
+        ("nudge".into(), Message::Nudge(who())),
+        ("release".into(), Message::Release { duty: duty.clone(), token: 7, who: who() }),
         ("ask-status".into(), ask(Ask::Status)),
         ("ask-work".into(), ask(Ask::Work)),
         ("told-status".into(), told(Told::Status(Box::new(status())))),
         ("told-work".into(), told(Told::Work(Box::new((work(), sight()))))),
         ("told-not-now".into(), told(Told::NotNow("nobody leads".into()))),
-        ("publish".into(), Word::Publish { publication: publication(), passed: true }),
-        ("stale".into(), Word::Stale { duty, token: 7, seen: 8 }),
-        ("away".into(), Word::Away),
-        ("part".into(), Word::Part(who())),
+        ("publish".into(), Message::Publish { publication: publication(), passed: true }),
+        ("stale".into(), Message::Stale { duty, token: 7, seen: 8 }),
+        ("away".into(), Message::Away),
+        ("part".into(), Message::Part(who())),
     ];
     words.extend(
         commands().into_iter().map(|(name, command)| (format!("ask-{name}"), ask(Ask::Command(command)))),
@@ -272,22 +282,22 @@
 }
 
 /// Fails to compile when a variant is added, which needs a sample above.
-fn variant(word: &Word) -> usize {
+fn variant(word: &Message) -> usize {
     match word {
-        Word::Hello { .. } => 0,
-        Word::Beat => 1,
-        Word::Seat(_) => 2,
-        Word::Agree(_) => 3,
-        Word::Renew(_) => 4,
-        Word::Renewed(_) => 5,
-        Word::Nudge(_) => 6,
-        Word::Release { .. } => 7,
-        Word::Ask { .. } => 8,
-        Word::Told { .. } => 9,
-        Word::Publish { .. } => 10,
-        Word::Stale { .. } => 11,
-        Word::Away => 12,
-        Word::Part(_) => 13,
+        Message::Hello { .. } => 0,
+        Message::Beat => 1,
+        Message::Seat(_) => 2,
+        Message::Agree(_) => 3,
+        Message::Renew(_) => 4,
+        Message::Renewed(_) => 5,
+        Message::Nudge(_) => 6,
+        Message::Release { .. } => 7,
+        Message::Ask { .. } => 8,
+        Message::Told { .. } => 9,
+        Message::Publish { .. } => 10,
+        Message::Stale { .. } => 11,
+        Message::Away => 12,
+        Message::Part(_) => 13,
     }
 }
 
@@ -312,9 +322,9 @@
 /// What the store holds beside the log of the consensus engine, and the state that its snapshots hold.
 #[test]
 fn stored_values_keep_their_form() {
-    let mut fleet = Fleet::founded(BTreeMap::from([("n1".into(), 9), ("n2".into(), 10)]));
-    fleet.sessions.insert("n1".into(), Current { incarnation: 5, terms: terms() });
-    fleet.absent.insert("n9".into(), Absent { who: who(), terms: terms(), parted: false });
+    let mut fleet = Fleet::with_voters(BTreeMap::from([("n1".into(), 9), ("n2".into(), 10)]));
+    fleet.sessions.insert("n1".into(), CurrentSession { incarnation: 5, terms: terms() });
+    fleet.absent.insert("n9".into(), DepartedProxy { who: who(), terms: terms(), parted: false });
     fleet.duties.insert("outs".into(), Duty { owner: Some(who()), token: 7 });
     fleet.outs.insert("s-1".into());
     fleet.work = work();
--- a/crates/fleet/src/agree.rs
+++ b/crates/fleet/src/consensus.rs
@@ -10,17 +10,17 @@
 use raft::{ProgressState, RawNode, SnapshotStatus, StateRole, Storage as _};
 use serde::{Deserialize, Serialize};
 
-use crate::kept::{Batch, Disk, Kept, Log};
-use crate::lease::Times;
+use crate::lease::Timing;
+use crate::messages::Roster;
 use crate::state::{Command, Fleet, Outcome};
-use crate::words::Roster;
+use crate::storage::{Batch, Disk, Log, PersistentState};
 
 /// Log entries kept before they are compacted into a new snapshot.
-const MOST_ENTRIES: usize = 1_024;
+const MAX_LOG_ENTRIES: usize = 1_024;
 /// How long a snapshot may be in transit, in election timeouts.
 const SNAPSHOT_ELECTIONS: usize = 2;
-const MOST_MESSAGE: u64 = 256 << 10;
-const MOST_UNCOMMITTED: u64 = 4 << 20;
+const MAX_MESSAGE_BYTES: u64 = 256 << 10;
+const MAX_UNCOMMITTED_BYTES: u64 = 4 << 20;
 
 /// The call that a log entry belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -32,7 +32,7 @@
 
 /// Context of a configuration change: a voter's new disk replaces the old one of the same name.
 #[derive(Debug, Serialize, Deserialize)]
-struct Replaced {
+struct VoterReplacement {
     name: String,
     seat: u64,
 }
@@ -50,97 +50,97 @@
 }
 
 /// A Raft node with the fleet's state as its state machine.
-pub struct Agree {
+pub struct Consensus {
     raw: RawNode<Log>,
     pub fleet: Fleet,
-    conf: ConfState,
+    conf_state: ConfState,
     applied: u64,
     seat: u64,
     incarnation: u64,
     rng: fastrand::Rng,
     election_ticks: usize,
     /// The term and role for which the election timeout was last drawn.
-    drawn: Option<(u64, StateRole)>,
+    timeout_drawn_for: Option<(u64, StateRole)>,
     /// The voters have changed since the snapshot was taken: a new voter could not use it.
-    outdated: bool,
+    snapshot_outdated: bool,
     /// Snapshots in transit, and for how many ticks.
-    sent: BTreeMap<u64, usize>,
+    snapshot_ticks: BTreeMap<u64, usize>,
     /// Names of senders whose ids are not in the replicated state yet.
-    met: BTreeMap<u64, String>,
+    learned_names: BTreeMap<u64, String>,
     /// Confirmed rounds that wait until the state has reached their index.
-    reads: Vec<(u64, u64)>,
+    pending_reads: Vec<(u64, u64)>,
 }
 
-fn bytes(message: &impl protobuf::Message) -> Vec<u8> {
+fn encode(message: &impl protobuf::Message) -> Vec<u8> {
     // Serialization fails only for missing required fields, and these messages have none.
     message.write_to_bytes().unwrap_or_default()
 }
 
 /// The initial snapshot of the log, identical on all founding voters.
-pub fn founding(roster: &Roster) -> Batch {
+pub fn initial_batch(roster: &Roster) -> Batch {
     let mut snapshot = Snapshot::default();
     snapshot.mut_metadata().index = 1;
     snapshot.mut_metadata().term = 1;
     snapshot.mut_metadata().mut_conf_state().voters = roster.values().copied().collect();
-    snapshot.data = postcard::to_stdvec(&Fleet::founded(roster.clone())).unwrap_or_default().into();
+    snapshot.data = postcard::to_stdvec(&Fleet::with_voters(roster.clone())).unwrap_or_default().into();
     let mut hard = HardState::default();
     (hard.term, hard.commit) = (1, 1);
     Batch { hard: Some(hard), snapshot: Some(snapshot), ..Batch::default() }
 }
 
-impl Agree {
-    pub fn new(kept: &Kept, incarnation: u64, times: &Times, seed: u64) -> Result<Self, String> {
+impl Consensus {
+    pub fn new(kept: &PersistentState, incarnation: u64, times: &Timing, seed: u64) -> Result<Self, String> {
         let log = kept.log.clone();
-        let applied = log.before();
+        let applied = log.snapshot_index();
         let config = raft::Config {
             id: kept.seat,
             election_tick: times.election_ticks,
             heartbeat_tick: times.heartbeat_ticks,
             applied,
-            max_size_per_msg: MOST_MESSAGE,
+            max_size_per_msg: MAX_MESSAGE_BYTES,
             max_inflight_msgs: 64,
-            max_uncommitted_size: MOST_UNCOMMITTED,
+            max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
             // A leader that hears no majority steps down, and one cut off doesn't disturb the others.
             check_quorum: true,
             pre_vote: true,
             ..raft::Config::default()
         };
-        let fleet = state(&log.snapshot)?;
-        let conf = log.snapshot.get_metadata().get_conf_state().clone();
+        let fleet = decode_state(&log.snapshot)?;
+        let conf_state = log.snapshot.get_metadata().get_conf_state().clone();
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let raw = RawNode::new(&config, log, &logger).map_err(|wrong| wrong.to_string())?;
+        let raw = RawNode::new(&config, log, &logger).map_err(|error| error.to_string())?;
         let (rng, election_ticks) = (fastrand::Rng::with_seed(seed), times.election_ticks);
-        let mut agree = Agree {
+        let mut consensus = Consensus {
             raw,
             fleet,
-            conf,
+            conf_state,
             applied,
             seat: kept.seat,
             incarnation,
             rng,
             election_ticks,
-            drawn: None,
-            outdated: false,
-            met: BTreeMap::new(),
-            sent: BTreeMap::new(),
-            reads: Vec::new(),
+            timeout_drawn_for: None,
+            snapshot_outdated: false,
+            learned_names: BTreeMap::new(),
+            snapshot_ticks: BTreeMap::new(),
+            pending_reads: Vec::new(),
         };
-        agree.draw();
-        Ok(agree)
+        consensus.redraw_election_timeout();
+        Ok(consensus)
     }
 
     /// The library draws the election timeout from an unseeded source. It is drawn again here from the seed,
     /// so that runs are reproducible.
-    fn draw(&mut self) {
+    fn redraw_election_timeout(&mut self) {
         let at = (self.raw.raft.term, self.raw.raft.state);
-        if self.drawn != Some(at) {
-            self.drawn = Some(at);
+        if self.timeout_drawn_for != Some(at) {
+            self.timeout_drawn_for = Some(at);
             let ticks = self.rng.usize(self.election_ticks..2 * self.election_ticks);
             self.raw.raft.set_randomized_election_timeout(ticks);
         }
     }
 
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.raw.raft.state == StateRole::Leader
     }
 
@@ -150,40 +150,40 @@
 
     /// Whether it has the log, even if it is not among the voters yet.
     pub fn started(&self) -> bool {
-        self.raw.store().before() > 0
+        self.raw.store().snapshot_index() > 0
     }
 
-    pub fn votes(&self) -> bool {
-        self.conf.voters.contains(&self.seat)
+    pub fn is_voter(&self) -> bool {
+        self.conf_state.voters.contains(&self.seat)
     }
 
     pub fn leader(&self) -> Option<&str> {
         let id = self.raw.raft.leader_id;
-        self.name(id).filter(|_| id != raft::INVALID_ID)
+        self.voter_name(id).filter(|_| id != raft::INVALID_ID)
     }
 
-    pub fn name(&self, id: u64) -> Option<&str> {
+    pub fn voter_name(&self, id: u64) -> Option<&str> {
         let seat = self.fleet.seats.iter().find(|(_, seat)| **seat == id).map(|(name, _)| name);
-        seat.or_else(|| self.met.get(&id)).map(String::as_str)
+        seat.or_else(|| self.learned_names.get(&id)).map(String::as_str)
     }
 
     pub fn tick(&mut self) {
         self.raw.tick();
-        self.draw();
-        self.snapshots_again();
+        self.redraw_election_timeout();
+        self.retry_snapshots();
     }
 
     /// The library sends a snapshot once and then waits for a report on it. A lost one would be waited for
     /// indefinitely, so it is reported as failed after a timeout.
-    fn snapshots_again(&mut self) {
-        let sent = self.raw.raft.prs().iter().filter(|(_, one)| one.state == ProgressState::Snapshot);
-        let sent: Vec<u64> = sent.map(|(id, _)| *id).collect();
-        self.sent.retain(|id, _| sent.contains(id));
-        for id in sent {
-            let ticks = self.sent.entry(id).or_default();
+    fn retry_snapshots(&mut self) {
+        let in_transit = self.raw.raft.prs().iter().filter(|(_, one)| one.state == ProgressState::Snapshot);
+        let in_transit: Vec<u64> = in_transit.map(|(id, _)| *id).collect();
+        self.snapshot_ticks.retain(|id, _| in_transit.contains(id));
+        for id in in_transit {
+            let ticks = self.snapshot_ticks.entry(id).or_default();
             *ticks += 1;
             if *ticks > SNAPSHOT_ELECTIONS * self.election_ticks {
-                self.sent.remove(&id);
+                self.snapshot_ticks.remove(&id);
                 self.raw.report_snapshot(id, SnapshotStatus::Failure);
             }
         }
@@ -197,35 +197,37 @@
             if self.fleet.seats.get(name) != Some(&message.from) {
                 // The sender must be answered before the log tells whose id that is: a new disk knows no
                 // voter, and one that was offline knows only the old disk's id.
-                self.met.insert(message.from, name.to_owned());
+                self.learned_names.insert(message.from, name.to_owned());
             }
             // The library rejects messages that only its own clock may generate.
             let _ = self.raw.step(message);
-            self.draw();
+            self.redraw_election_timeout();
         }
     }
 
     pub fn propose(&mut self, call: u64, command: &Command) -> Result<(), String> {
         let origin = Origin { seat: self.seat, incarnation: self.incarnation, call };
-        let coded = |wrong: postcard::Error| wrong.to_string();
-        let (origin, command) =
-            (postcard::to_stdvec(&origin).map_err(coded)?, postcard::to_stdvec(command).map_err(coded)?);
-        self.raw.propose(origin, command).map_err(|wrong| wrong.to_string())
+        let encoding_error = |error: postcard::Error| error.to_string();
+        let (origin, command) = (
+            postcard::to_stdvec(&origin).map_err(encoding_error)?,
+            postcard::to_stdvec(command).map_err(encoding_error)?,
+        );
+        self.raw.propose(origin, command).map_err(|error| error.to_string())
     }
 
     /// Whether the leadership can be confirmed: not before an entry of the current term is committed. A
     /// request made earlier would never be answered.
-    pub fn confirms(&self) -> bool {
-        self.leads() && self.raw.raft.commit_to_current_term()
+    pub fn can_confirm(&self) -> bool {
+        self.is_leader() && self.raw.raft.commit_to_current_term()
     }
 
     /// Asks a majority whether this voter still leads. The answer is a confirmed round.
-    pub fn confirm(&mut self, round: u64) {
+    pub fn request_confirmation(&mut self, round: u64) {
         self.raw.read_index(round.to_be_bytes().to_vec());
     }
 
     /// Transfers the leadership to the most up-to-date voter before the process ends.
-    pub fn hand_on(&mut self) {
+    pub fn transfer_leadership(&mut self) {
         let own = self.seat;
         let progress = self.raw.raft.prs();
         let ready = progress.iter().filter(|(id, one)| **id != own && one.recent_active);
@@ -236,10 +238,10 @@
 
     /// Replaces a voter's old disk by a new one, in a single configuration change that needs a majority of
     /// both configurations. Not while the old disk is still active.
-    pub fn replace(&mut self, name: &str, seat: u64) {
+    pub fn replace_voter(&mut self, name: &str, seat: u64) {
         let Some(old) = self.fleet.seats.get(name).copied() else { return };
         let alive = self.raw.raft.prs().get(old).is_some_and(|one| one.recent_active);
-        if !self.leads() || old == seat || alive || self.raw.raft.has_pending_conf() {
+        if !self.is_leader() || old == seat || alive || self.raw.raft.has_pending_conf() {
             return;
         }
         let change = |kind, id| {
@@ -251,7 +253,7 @@
         let mut both = ConfChangeV2::default();
         both.mut_changes().push(change(ConfChangeType::RemoveNode, old));
         both.mut_changes().push(change(ConfChangeType::AddNode, seat));
-        let replaced = Replaced { name: name.to_owned(), seat };
+        let replaced = VoterReplacement { name: name.to_owned(), seat };
         both.context = postcard::to_stdvec(&replaced).unwrap_or_default().into();
         let _ = self.raw.propose_conf_change(Vec::new(), both);
     }
@@ -264,7 +266,7 @@
             let mut ready = self.raw.ready();
             // A leader may send these messages before its own entries are persisted: its own copy counts only
             // once it is.
-            say(&mut progress, ready.take_messages());
+            queue_messages(&mut progress, ready.take_messages());
             let snapshot = ready.snapshot();
             let batch = Batch {
                 entries: ready.entries().clone(),
@@ -274,31 +276,31 @@
             };
             if !batch.is_empty() {
                 disk.write(&batch)?;
-                self.raw.mut_store().absorb(&batch);
+                self.raw.mut_store().apply(&batch);
             }
             if let Some(snapshot) = &batch.snapshot {
-                self.fleet = state(snapshot)?;
-                self.conf = snapshot.get_metadata().get_conf_state().clone();
+                self.fleet = decode_state(snapshot)?;
+                self.conf_state = snapshot.get_metadata().get_conf_state().clone();
                 self.applied = snapshot.get_metadata().index;
             }
             for read in ready.take_read_states() {
                 if let Ok(round) = <[u8; 8]>::try_from(read.request_ctx.as_slice()) {
-                    self.reads.push((read.index, u64::from_be_bytes(round)));
+                    self.pending_reads.push((read.index, u64::from_be_bytes(round)));
                 }
             }
             self.apply(ready.take_committed_entries(), &mut progress);
-            say(&mut progress, ready.take_persisted_messages());
+            queue_messages(&mut progress, ready.take_persisted_messages());
             let mut light = self.raw.advance(ready);
             if let Some(commit) = light.commit_index() {
                 self.raw.mut_store().hard.commit = commit;
             }
-            say(&mut progress, light.take_messages());
+            queue_messages(&mut progress, light.take_messages());
             self.apply(light.take_committed_entries(), &mut progress);
             self.raw.advance_apply();
-            self.draw();
+            self.redraw_election_timeout();
         }
         let applied = self.applied;
-        self.reads.retain(|(index, round)| {
+        self.pending_reads.retain(|(index, round)| {
             if *index <= applied {
                 progress.confirmed.push(*round);
             }
@@ -324,51 +326,51 @@
                 EntryType::EntryConfChange => {}
                 EntryType::EntryConfChangeV2 => {
                     if let Ok(change) = ConfChangeV2::parse_from_bytes(&entry.data) {
-                        let conf = self.raw.apply_conf_change(&change);
-                        self.changed(conf.ok(), &change.context, progress);
+                        let conf_state = self.raw.apply_conf_change(&change);
+                        self.voters_changed(conf_state.ok(), &change.context, progress);
                     }
                 }
             }
         }
     }
 
-    fn changed(&mut self, conf: Option<ConfState>, context: &[u8], progress: &mut Progress) {
-        if let Some(conf) = conf {
-            self.conf = conf;
+    fn voters_changed(&mut self, conf_state: Option<ConfState>, context: &[u8], progress: &mut Progress) {
+        if let Some(conf_state) = conf_state {
+            self.conf_state = conf_state;
         }
-        if let Ok(replaced) = postcard::from_bytes::<Replaced>(context) {
+        if let Ok(replaced) = postcard::from_bytes::<VoterReplacement>(context) {
             self.fleet.seats.insert(replaced.name.clone(), replaced.seat);
-            self.outdated = true;
+            self.snapshot_outdated = true;
             progress.replaced.push(replaced.name);
         }
     }
 
     fn compact(&mut self, disk: &mut dyn Disk) -> Result<(), String> {
         let log = self.raw.store();
-        let due = self.outdated || log.entries.len() > MOST_ENTRIES;
-        if !due || self.applied <= log.before() {
+        let due = self.snapshot_outdated || log.entries.len() > MAX_LOG_ENTRIES;
+        if !due || self.applied <= log.snapshot_index() {
             return Ok(());
         }
         let mut snapshot = Snapshot::default();
         snapshot.mut_metadata().index = self.applied;
-        snapshot.mut_metadata().term = log.term(self.applied).map_err(|wrong| wrong.to_string())?;
-        snapshot.mut_metadata().set_conf_state(self.conf.clone());
-        snapshot.data = postcard::to_stdvec(&self.fleet).map_err(|wrong| wrong.to_string())?.into();
+        snapshot.mut_metadata().term = log.term(self.applied).map_err(|error| error.to_string())?;
+        snapshot.mut_metadata().set_conf_state(self.conf_state.clone());
+        snapshot.data = postcard::to_stdvec(&self.fleet).map_err(|error| error.to_string())?.into();
         let batch = Batch { snapshot: Some(snapshot), ..Batch::default() };
         disk.write(&batch)?;
-        self.raw.mut_store().absorb(&batch);
-        self.outdated = false;
+        self.raw.mut_store().apply(&batch);
+        self.snapshot_outdated = false;
         Ok(())
     }
 }
 
-fn state(snapshot: &Snapshot) -> Result<Fleet, String> {
+fn decode_state(snapshot: &Snapshot) -> Result<Fleet, String> {
     match snapshot.get_metadata().index {
         0 => Ok(Fleet::default()),
-        _ => postcard::from_bytes(&snapshot.data).map_err(|wrong| format!("the agreed state: {wrong}")),
+        _ => postcard::from_bytes(&snapshot.data).map_err(|error| format!("the agreed state: {error}")),
     }
 }
 
-fn say(progress: &mut Progress, messages: Vec<Message>) {
-    progress.messages.extend(messages.iter().map(|message| (message.to, bytes(message))));
+fn queue_messages(progress: &mut Progress, messages: Vec<Message>) {
+    progress.messages.extend(messages.iter().map(|message| (message.to, encode(message))));
 }
--- a/crates/fleet/src/lead.rs
+++ b/crates/fleet/src/leader.rs
@@ -4,16 +4,16 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::lease::Times;
-use crate::sight::{summed, Sight, View, Words};
+use crate::lease::Timing;
+use crate::messages::{MemberStatus, ProcessId, Renewal, Renewed, WorkContext, DUTIES, WORK};
+use crate::observation::{aggregate, FleetView, LatestReport, View};
 use crate::state::{Command, Fleet};
-use crate::words::{Desk, MemberStatus, Renewal, Renewed, Who, DUTIES, WORK};
-use crate::work::{Is, Machine, Stage, Terms};
+use crate::work::{Machine, MachineKind, SendPolicy, Stage};
 
 /// A session ends after this many leases without a renewal.
-const LAPSE: u64 = 3;
+const SESSION_TIMEOUT_LEASES: u64 = 3;
 /// Maximum number of sessions begun or ended by one log entry.
-const MOST_JOINS: usize = 256;
+const MAX_SESSIONS_PER_ENTRY: usize = 256;
 
 /// The last renewal received from a process.
 pub struct Heard<R> {
@@ -26,60 +26,60 @@
 }
 
 /// `R` is the type of a return route to a process.
-pub struct Lead<R> {
+pub struct LeaderState<R> {
     pub name: String,
     pub term: u64,
     /// When this voter learned that it leads. Whatever earlier leaders answered was received before.
     since_us: u64,
     /// By process: during an upgrade both processes count until one is gone.
-    pub heard: BTreeMap<Who, Heard<R>>,
+    pub heard: BTreeMap<ProcessId, Heard<R>>,
     /// Renewals awaiting a majority's confirmation of the leadership, with the round that will confirm it.
-    waiting: BTreeMap<Who, (u64, Heard<R>)>,
+    waiting: BTreeMap<ProcessId, (u64, Heard<R>)>,
     round: u64,
     /// When the sessions were last checked.
-    looked_us: u64,
+    sessions_checked_us: u64,
     /// When the outstanding round was requested.
-    asked_us: Option<u64>,
+    round_requested_us: Option<u64>,
     /// When each owner's last confirmed renewal was received, or its grant took effect.
     renewed_us: BTreeMap<String, u64>,
     /// Duties with a proposed grant. Until it takes effect or the leadership is lost, the current owner is
     /// told nothing that would extend its lease.
     granting: BTreeSet<String>,
-    joining: BTreeSet<Who>,
-    leaving: BTreeSet<Who>,
+    joining: BTreeSet<ProcessId>,
+    leaving: BTreeSet<ProcessId>,
     /// Processes that announced their exit and had answered all queries.
-    parted: BTreeSet<Who>,
+    exited: BTreeSet<ProcessId>,
     /// For each leaving machine, its revision and when this leader learned of it. Earlier leaders learned of
     /// it earlier.
     leaving_us: BTreeMap<String, (u64, u64)>,
 }
 
 /// Maximum number of reasons reported for one waiting machine.
-const MOST_WAITS: usize = 6;
+const MAX_REASONS: usize = 6;
 
-impl<R: Clone> Lead<R> {
+impl<R: Clone> LeaderState<R> {
     pub fn new(name: &str, term: u64, now_us: u64) -> Self {
-        Lead {
+        LeaderState {
             name: name.to_owned(),
             term,
             since_us: now_us,
             heard: BTreeMap::new(),
             waiting: BTreeMap::new(),
-            looked_us: 0,
+            sessions_checked_us: 0,
             // A round of an earlier term must not confirm one of this term.
             round: term << 24,
-            asked_us: None,
+            round_requested_us: None,
             renewed_us: BTreeMap::new(),
             granting: BTreeSet::new(),
             joining: BTreeSet::new(),
             leaving: BTreeSet::new(),
-            parted: BTreeSet::new(),
+            exited: BTreeSet::new(),
             leaving_us: BTreeMap::new(),
         }
     }
 
     /// Records a renewal; it is answered once a later round has been confirmed.
-    pub fn hear(&mut self, now_us: u64, renewal: Renewal, route: R) {
+    pub fn record_renewal(&mut self, now_us: u64, renewal: Renewal, route: R) {
         let who = renewal.who.clone();
         let view = renewal.seen.view.clone();
         let view = view.or_else(|| self.heard.get(&who).and_then(|heard| heard.view.clone()));
@@ -89,28 +89,34 @@
     }
 
     /// The next round to request from a majority, if a renewal waits for one.
-    pub fn round(&mut self, now_us: u64, times: &Times) -> Option<u64> {
-        let patience = 2 * times.heartbeat_ticks as u64 * times.tick_us;
-        let out = self.asked_us.is_some_and(|asked| now_us < asked + patience);
-        if self.waiting.is_empty() || out {
+    pub fn next_round(&mut self, now_us: u64, times: &Timing) -> Option<u64> {
+        let timeout_us = 2 * times.heartbeat_ticks as u64 * times.tick_us;
+        let round_in_flight = self.round_requested_us.is_some_and(|asked| now_us < asked + timeout_us);
+        if self.waiting.is_empty() || round_in_flight {
             return None;
         }
         self.round += 1;
-        self.asked_us = Some(now_us);
+        self.round_requested_us = Some(now_us);
         Some(self.round)
     }
 
     /// A majority has confirmed the leadership since this round was requested: answers the renewals received
     /// before it.
-    pub fn confirmed(&mut self, now_us: u64, round: u64, fleet: &Fleet, times: &Times) -> Vec<(R, Renewed)> {
+    pub fn answer_confirmed(
+        &mut self,
+        now_us: u64,
+        round: u64,
+        fleet: &Fleet,
+        times: &Timing,
+    ) -> Vec<(R, Renewed)> {
         if round == self.round {
-            self.asked_us = None;
+            self.round_requested_us = None;
         }
         let mut answers = Vec::new();
         let waiting = std::mem::take(&mut self.waiting);
-        for (who, (needs, heard)) in waiting {
-            if needs > round {
-                self.waiting.insert(who, (needs, heard));
+        for (who, (needed_round, heard)) in waiting {
+            if needed_round > round {
+                self.waiting.insert(who, (needed_round, heard));
                 continue;
             }
             let who = &heard.renewal.who;
@@ -128,14 +134,14 @@
                     duties.push((duty.clone(), state.token));
                 }
             }
-            let wants = !duties.is_empty() && heard.renewal.heard != fleet.version;
-            let owns = duties.iter().any(|(duty, _)| duty == WORK);
-            let open = fleet.work.open().next().is_some();
-            let (revision, known) = (fleet.work.revision, heard.renewal.work);
-            let desk = (owns && open).then(|| Desk {
+            let needs_outs = !duties.is_empty() && heard.renewal.heard != fleet.version;
+            let owns_work = duties.iter().any(|(duty, _)| duty == WORK);
+            let has_open_plan = fleet.work.open_plans().next().is_some();
+            let (revision, known_revision) = (fleet.work.revision, heard.renewal.work);
+            let work_context = (owns_work && has_open_plan).then(|| WorkContext {
                 revision,
-                work: (known != Some(revision)).then(|| fleet.work.clone()),
-                sight: self.sight(now_us, fleet, times),
+                work: (known_revision != Some(revision)).then(|| fleet.work.clone()),
+                sight: self.fleet_view(now_us, fleet, times),
             });
             let answer = Renewed {
                 who: who.clone(),
@@ -143,12 +149,12 @@
                 superseded,
                 version: fleet.version,
                 tokens: fleet.duties.iter().map(|(name, duty)| (name.clone(), duty.token)).collect(),
-                outs: wants.then(|| fleet.published()),
+                outs: needs_outs.then(|| fleet.published()),
                 duties,
                 leader: self.name.clone(),
-                next: open.then(|| (revision, fleet.work.agreed())),
-                drained: fleet.work.drained(&who.name),
-                work: desk.map(Box::new),
+                next: has_open_plan.then(|| (revision, fleet.work.next_backends())),
+                drained: fleet.work.is_drained(&who.name),
+                work: work_context.map(Box::new),
             };
             answers.push((heard.route, answer));
         }
@@ -157,36 +163,36 @@
 
     /// Handles a command that has taken effect.
     pub fn applied(&mut self, now_us: u64, command: &Command) {
-        self.dropped(command);
+        self.no_longer_pending(command);
         if let Command::Grant { duty, .. } = command {
             self.renewed_us.insert(duty.clone(), now_us);
         }
     }
 
     /// The process gave up a duty: it gets no other until it states that it is willing again.
-    pub fn released(&mut self, who: &Who) {
+    pub fn duty_released(&mut self, who: &ProcessId) {
         if let Some(heard) = self.heard.get_mut(who) {
             heard.renewal.willing = false;
         }
     }
 
-    pub fn heard_of(&self, name: &str) -> bool {
-        self.last_of(name).is_some()
+    pub fn has_heard_from(&self, name: &str) -> bool {
+        self.latest_renewal(name).is_some()
     }
 
     /// The last renewal of a proxy's newest process.
-    fn last_of(&self, name: &str) -> Option<&Heard<R>> {
-        let who = |incarnation| Who { name: name.to_owned(), incarnation };
+    fn latest_renewal(&self, name: &str) -> Option<&Heard<R>> {
+        let who = |incarnation| ProcessId { name: name.to_owned(), incarnation };
         self.heard.range(who(0)..=who(u64::MAX)).next_back().map(|(_, heard)| heard)
     }
 
-    /// The commands to propose now. `dropped` must be called for each that could not be proposed.
-    pub fn propose(&mut self, now_us: u64, fleet: &Fleet, times: &Times) -> Vec<Command> {
+    /// The commands to propose now. `no_longer_pending` must be called for each that could not be proposed.
+    pub fn due_commands(&mut self, now_us: u64, fleet: &Fleet, times: &Timing) -> Vec<Command> {
         let mut commands = Vec::new();
         // There can be hundreds of sessions, so they are checked periodically and not on each message.
-        if now_us >= self.looked_us + times.tick_us / 2 {
-            self.looked_us = now_us;
-            commands.extend(self.sessions(now_us, fleet, times));
+        if now_us >= self.sessions_checked_us + times.tick_us / 2 {
+            self.sessions_checked_us = now_us;
+            commands.extend(self.session_changes(now_us, fleet, times));
         }
         for duty in DUTIES {
             commands.extend(self.grant(now_us, duty, fleet, times));
@@ -195,12 +201,12 @@
     }
 
     /// Commands for sessions that have begun or ended.
-    fn sessions(&mut self, now_us: u64, fleet: &Fleet, times: &Times) -> Vec<Command> {
+    fn session_changes(&mut self, now_us: u64, fleet: &Fleet, times: &Timing) -> Vec<Command> {
         let mut commands = Vec::new();
-        self.heard.retain(|_, heard| now_us <= heard.at_us + LAPSE * times.lease_us);
-        let parted = &mut self.parted;
-        self.heard.retain(|who, _| !parted.contains(who));
-        let new = |who: &Who, terms: &Terms| {
+        self.heard.retain(|_, heard| now_us <= heard.at_us + SESSION_TIMEOUT_LEASES * times.lease_us);
+        let exited = &mut self.exited;
+        self.heard.retain(|who, _| !exited.contains(who));
+        let new = |who: &ProcessId, terms: &SendPolicy| {
             let current = fleet.sessions.get(&who.name);
             current.is_none_or(|current| {
                 current.incarnation < who.incarnation
@@ -209,19 +215,22 @@
         };
         let joins = self.heard.iter().map(|(who, heard)| (who, heard.renewal.terms));
         let joins = joins.filter(|(who, terms)| new(who, terms) && !self.joining.contains(who));
-        let joins = joins.take(MOST_JOINS).map(|(who, terms)| (who.clone(), terms));
-        let joins: Vec<(Who, Terms)> = joins.collect();
+        let joins = joins.take(MAX_SESSIONS_PER_ENTRY).map(|(who, terms)| (who.clone(), terms));
+        let joins: Vec<(ProcessId, SendPolicy)> = joins.collect();
         if !joins.is_empty() {
             self.joining.extend(joins.iter().map(|(who, _)| who.clone()));
             commands.push(Command::Join(joins));
         }
-        let long = now_us > self.since_us + LAPSE * times.lease_us;
-        let silent = fleet.sessions.iter().filter(|(name, _)| !self.heard_of(name));
-        let silent = silent.map(|(name, one)| Who { name: name.clone(), incarnation: one.incarnation });
-        let leaves = silent.map(|who| (self.parted.contains(&who), who));
-        let leaves = leaves.filter(|(parted, who)| (*parted || long) && !self.leaving.contains(who));
-        let leaves: Vec<(Who, bool)> = leaves.take(MOST_JOINS).map(|(parted, who)| (who, parted)).collect();
-        self.parted.retain(|who| fleet.is_current(who));
+        let timeout_elapsed = now_us > self.since_us + SESSION_TIMEOUT_LEASES * times.lease_us;
+        let silent = fleet.sessions.iter().filter(|(name, _)| !self.has_heard_from(name));
+        let silent =
+            silent.map(|(name, current)| ProcessId { name: name.clone(), incarnation: current.incarnation });
+        let leaves = silent.map(|who| (self.exited.contains(&who), who));
+        let leaves =
+            leaves.filter(|(parted, who)| (*parted || timeout_elapsed) && !self.leaving.contains(who));
+        let leaves: Vec<(ProcessId, bool)> =
+            leaves.take(MAX_SESSIONS_PER_ENTRY).map(|(parted, who)| (who, parted)).collect();
+        self.exited.retain(|who| fleet.is_current(who));
         if !leaves.is_empty() {
             self.leaving.extend(leaves.iter().map(|(who, _)| who.clone()));
             commands.push(Command::Leave(leaves));
@@ -230,16 +239,16 @@
     }
 
     /// A process has announced its exit.
-    pub fn parted(&mut self, who: Who) {
+    pub fn process_exited(&mut self, who: ProcessId) {
         self.heard.remove(&who);
         self.waiting.remove(&who);
-        self.parted.insert(who);
-        self.looked_us = 0;
+        self.exited.insert(who);
+        self.sessions_checked_us = 0;
     }
 
     /// Records since when each leaving machine is known.
-    fn leavers(&mut self, now_us: u64, fleet: &Fleet) {
-        let all = fleet.work.open().flat_map(|(_, plan)| &plan.machines);
+    fn track_leaving(&mut self, now_us: u64, fleet: &Fleet) {
+        let all = fleet.work.open_plans().flat_map(|(_, plan)| &plan.machines);
         let all: BTreeMap<&String, u64> = all
             .filter(|(_, machine)| machine.stage == Stage::Leaving)
             .map(|(id, machine)| (id, machine.revision))
@@ -257,16 +266,17 @@
         id: &str,
         machine: &Machine,
         fleet: &Fleet,
-        times: &Times,
+        times: &Timing,
     ) -> Vec<String> {
         let since = self.leaving_us.get(id).filter(|since| since.0 == machine.revision);
         let Some((_, since_us)) = since.copied() else {
-            return vec!["the leader has just heard of it".into()];
+            return vec!["the leader has only just learned of it".into()];
         };
-        if machine.is == Is::Proxy {
+        if machine.is == MachineKind::Proxy {
             return self.proxy_waits(id, fleet).into_iter().collect();
         }
-        let shut = |terms: &Terms| terms.drains && now_us >= since_us + times.lease_us + terms.longest_us;
+        let cut_off =
+            |terms: &SendPolicy| terms.drains && now_us >= since_us + times.lease_us + terms.longest_us;
         let version = machine.version;
         // It has applied the version, has no queries in progress there, and cannot lose the version over a
         // restart without contact to the fleet.
@@ -286,38 +296,38 @@
         };
         let mut waits = Vec::new();
         for (name, current) in &fleet.sessions {
-            let who = Who { name: name.clone(), incarnation: current.incarnation };
+            let who = ProcessId { name: name.clone(), incarnation: current.incarnation };
             let heard = self.heard.get(&who).map(|heard| &heard.renewal);
             let busy =
                 heard.is_some_and(|renewal| renewal.acted >= version && renewal.seen.busy.contains(id));
-            if heard.is_some_and(clear) || !busy && shut(&current.terms) {
+            if heard.is_some_and(clear) || !busy && cut_off(&current.terms) {
                 continue;
             }
             waits.push(heard.map_or_else(|| format!("{name} was not heard of"), why));
         }
         // Older processes of an upgrade, and processes whose session has not begun yet.
         for (who, heard) in self.heard.iter().filter(|(who, _)| !fleet.is_current(who)) {
-            if !clear(&heard.renewal) && !shut(&heard.renewal.terms) {
+            if !clear(&heard.renewal) && !cut_off(&heard.renewal.terms) {
                 waits.push(format!("{} ({who})", why(&heard.renewal)));
             }
         }
-        for (name, absent) in fleet.absent.iter().filter(|(_, absent)| !shut(&absent.terms)) {
+        for (name, absent) in fleet.absent.iter().filter(|(_, absent)| !cut_off(&absent.terms)) {
             waits.push(match absent.parted {
                 true => format!("{name} has ended, and may start and serve unheard"),
                 false => format!("{name} left without a word"),
             });
         }
-        waits.truncate(MOST_WAITS);
+        waits.truncate(MAX_REASONS);
         waits
     }
 
-    fn in_office(&self, fleet: &Fleet) -> BTreeSet<String> {
+    fn office_holders(&self, fleet: &Fleet) -> BTreeSet<String> {
         let owners = fleet.duties.values().filter_map(|duty| duty.owner.as_ref());
         owners.map(|who| who.name.clone()).chain([self.name.clone()]).collect()
     }
 
     fn proxy_waits(&self, name: &str, fleet: &Fleet) -> Option<String> {
-        if self.in_office(fleet).contains(name) {
+        if self.office_holders(fleet).contains(name) {
             return Some(format!("{name} has yet to hand over what it owns or leads"));
         }
         if !fleet.sessions.contains_key(name) {
@@ -325,7 +335,7 @@
             return silent.then(|| format!("{name} left without a word"));
         }
         let drained = |heard: &Heard<R>| heard.renewal.seen.drained;
-        match self.last_of(name) {
+        match self.latest_renewal(name) {
             Some(heard) if drained(heard) => None,
             Some(_) => Some(format!("{name} has yet to answer what it has in hand")),
             None => Some(format!("{name} was not heard of")),
@@ -333,46 +343,46 @@
     }
 
     /// The aggregated observations of all proxies, and the progress of each machine.
-    pub fn sight(&mut self, now_us: u64, fleet: &Fleet, times: &Times) -> Sight {
-        self.leavers(now_us, fleet);
-        let fresh = times.lease_us + times.session_us;
-        let words = fleet.sessions.iter().map(|(name, current)| {
-            let who = Who { name: name.clone(), incarnation: current.incarnation };
+    pub fn fleet_view(&mut self, now_us: u64, fleet: &Fleet, times: &Timing) -> FleetView {
+        self.track_leaving(now_us, fleet);
+        let max_age_us = times.lease_us + times.session_us;
+        let reports = fleet.sessions.iter().map(|(name, current)| {
+            let who = ProcessId { name: name.clone(), incarnation: current.incarnation };
             let heard = self.heard.get(&who);
             let age_us = heard.map_or(u64::MAX, |heard| now_us.saturating_sub(heard.at_us));
             let seen = heard.map(|heard| &heard.renewal.seen);
-            Words {
+            LatestReport {
                 name,
                 view: heard.and_then(|heard| heard.view.as_ref()),
                 objections: seen.map_or(&[], |seen| &seen.objections),
                 revision: seen.map_or(0, |seen| seen.revision),
                 age_us,
-                in_touch: age_us <= fresh,
+                in_touch: age_us <= max_age_us,
             }
         });
-        let mut sight = summed(words);
+        let mut sight = aggregate(reports);
         let silent = fleet.absent.iter().filter(|(_, absent)| !absent.parted).map(|(name, _)| name);
         for name in silent {
             sight.proxies += 1;
             sight.silent.push(name.clone());
         }
-        sight.in_office = self.in_office(fleet);
-        for (id, machine) in fleet.work.open().flat_map(|(_, plan)| &plan.machines) {
+        sight.in_office = self.office_holders(fleet);
+        for (id, machine) in fleet.work.open_plans().flat_map(|(_, plan)| &plan.machines) {
             if machine.stage == Stage::Leaving {
                 sight.waits.insert(id.clone(), self.waits(now_us, id, machine, fleet, times));
             }
             if machine.stage == Stage::Back {
                 let behind = |heard: &&Heard<R>| heard.renewal.acted < machine.version;
-                let there =
+                let current =
                     self.heard.iter().filter(|(who, _)| fleet.is_current(who)).map(|(_, heard)| heard);
-                sight.behind.insert(id.clone(), there.filter(behind).count() as u32);
+                sight.behind.insert(id.clone(), current.filter(behind).count() as u32);
             }
         }
         sight
     }
 
     /// A command is no longer pending: it took effect, or it was not proposed and is to be tried again.
-    pub fn dropped(&mut self, command: &Command) {
+    pub fn no_longer_pending(&mut self, command: &Command) {
         match command {
             Command::Join(all) => all.iter().for_each(|(who, _)| {
                 self.joining.remove(who);
@@ -390,7 +400,7 @@
     /// Grants a duty to a new owner once the old owner's lease has expired by this clock too. It is counted
     /// from when the owner's last renewal was received, which is after it was sent, or from the start of the
     /// leadership.
-    fn grant(&mut self, now_us: u64, duty: &str, fleet: &Fleet, times: &Times) -> Option<Command> {
+    fn grant(&mut self, now_us: u64, duty: &str, fleet: &Fleet, times: &Timing) -> Option<Command> {
         if self.granting.contains(duty) {
             return None;
         }
@@ -409,28 +419,35 @@
     /// Prefers a voter, since it learns of changes first; then another process than the leader, so that one
     /// failure does not affect both; then another than the last owner, whose lease expired; then the one that
     /// owns the fewest duties.
-    fn candidate(&self, now_us: u64, last: Option<&Who>, fleet: &Fleet, times: &Times) -> Option<Who> {
-        let fresh = times.session_us + times.session_us / 2 + 4 * times.tick_us;
-        let fit = self.heard.values().filter(|heard| {
+    fn candidate(
+        &self,
+        now_us: u64,
+        last: Option<&ProcessId>,
+        fleet: &Fleet,
+        times: &Timing,
+    ) -> Option<ProcessId> {
+        let max_age_us = times.session_us + times.session_us / 2 + 4 * times.tick_us;
+        let eligible = self.heard.values().filter(|heard| {
             let renewal = &heard.renewal;
-            let sound = renewal.willing && renewal.writable;
-            sound && now_us <= heard.at_us + fresh && fleet.is_current(&renewal.who)
+            let accepts = renewal.willing && renewal.writable;
+            accepts && now_us <= heard.at_us + max_age_us && fleet.is_current(&renewal.who)
         });
-        let owns = |who: &Who| fleet.duties.values().filter(|duty| duty.owner.as_ref() == Some(who)).count();
-        let best = fit.min_by_key(|heard| {
+        let owned =
+            |who: &ProcessId| fleet.duties.values().filter(|duty| duty.owner.as_ref() == Some(who)).count();
+        let best = eligible.min_by_key(|heard| {
             let who = &heard.renewal.who;
-            (Some(who) == last, !heard.renewal.voter, who.name == self.name, owns(who), &who.name)
+            (Some(who) == last, !heard.renewal.voter, who.name == self.name, owned(who), &who.name)
         });
         best.map(|heard| heard.renewal.who.clone())
     }
 
     /// The route to a process that must learn of a change at once.
-    pub fn route(&self, who: &Who) -> Option<&R> {
+    pub fn route(&self, who: &ProcessId) -> Option<&R> {
         self.heard.get(who).map(|heard| &heard.route)
     }
 
     pub fn members(&self, now_us: u64) -> Vec<MemberStatus> {
-        let one = |heard: &Heard<R>| {
+        let status = |heard: &Heard<R>| {
             let Renewal { who, willing, writable, voter, taken_token, taken, acted, .. } = &heard.renewal;
             MemberStatus {
                 name: who.name.clone(),
@@ -444,6 +461,6 @@
                 silent_us: now_us.saturating_sub(heard.at_us),
             }
         };
-        self.heard.values().map(one).collect()
+        self.heard.values().map(status).collect()
     }
 }
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -5,7 +5,7 @@
 
 /// The intervals on which all processes of a fleet agree by their fleet file, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Times {
+pub struct Timing {
     pub lease_us: u64,
     /// Renewal interval of a process that owns a duty.
     pub renew_us: u64,
@@ -20,10 +20,10 @@
     pub election_ticks: usize,
 }
 
-impl Times {
+impl Timing {
     /// Derives all intervals from the lease.
     pub fn new(lease_us: u64) -> Self {
-        Times {
+        Timing {
             lease_us,
             renew_us: lease_us / 6,
             session_us: lease_us / 2,
@@ -46,25 +46,25 @@
 
 /// The leases that one process holds, by its own clock. That clock must not stop while the machine sleeps.
 #[derive(Clone, Default, Debug, PartialEq, Eq, Hash)]
-pub struct Holding {
+pub struct HeldLeases {
     held: BTreeMap<String, Held>,
     /// Tokens given up. An answer still in transit does not restore them.
-    let_go: BTreeMap<String, u64>,
+    released: BTreeMap<String, u64>,
 }
 
-impl Holding {
+impl HeldLeases {
     /// Handles the leader's answer to a renewal sent at `sent_us`. The lease counts from the sending, since
     /// the leader may have received the renewal at once and the answer may have been delayed.
-    pub fn renewed(
+    pub fn renew(
         &mut self,
         now_us: u64,
         duty: &str,
         token: u64,
         sent_us: u64,
-        times: &Times,
+        times: &Timing,
     ) -> Option<Held> {
         let until_us = (sent_us + times.lease_us).saturating_sub(times.margin_us);
-        if until_us <= now_us || self.has_let_go(duty, token) {
+        if until_us <= now_us || self.has_released(duty, token) {
             return None;
         }
         let held = self.held.entry(duty.to_owned()).or_insert(Held { token, from_us: now_us, until_us });
@@ -79,8 +79,8 @@
     }
 
     /// Whether this process has given up the duty under this token or a later one.
-    pub fn has_let_go(&self, duty: &str, token: u64) -> bool {
-        self.let_go.get(duty).is_some_and(|gone| *gone >= token)
+    pub fn has_released(&self, duty: &str, token: u64) -> bool {
+        self.released.get(duty).is_some_and(|given_up| *given_up >= token)
     }
 
     /// The token, while the lease is valid. To be checked at the moment of use, not before.
@@ -89,29 +89,29 @@
     }
 
     /// Removes and returns the leases that have expired.
-    pub fn lapsed(&mut self, now_us: u64) -> Vec<(String, u64)> {
-        let mut lapsed = Vec::new();
+    pub fn take_expired(&mut self, now_us: u64) -> Vec<(String, u64)> {
+        let mut expired = Vec::new();
         self.held.retain(|duty, held| {
             let lasts = now_us < held.until_us;
             if !lasts {
-                lapsed.push((duty.clone(), held.token));
+                expired.push((duty.clone(), held.token));
             }
             lasts
         });
-        lapsed
+        expired
     }
 
     /// Gives up the duty for good under this token. Returns false if it was not held.
-    pub fn let_go(&mut self, duty: &str, token: u64) -> bool {
-        let gone = self.let_go.entry(duty.to_owned()).or_default();
-        *gone = (*gone).max(token);
+    pub fn release(&mut self, duty: &str, token: u64) -> bool {
+        let given_up = self.released.entry(duty.to_owned()).or_default();
+        *given_up = (*given_up).max(token);
         match self.held.get(duty) {
             Some(held) if held.token <= token => self.held.remove(duty).is_some(),
             _ => false,
         }
     }
 
-    pub fn all(&self, now_us: u64) -> impl Iterator<Item = (&str, u64)> {
+    pub fn iter(&self, now_us: u64) -> impl Iterator<Item = (&str, u64)> {
         let lasts = move |held: &Held| now_us < held.until_us;
         self.held.iter().filter(move |(_, held)| lasts(held)).map(|(duty, held)| (duty.as_str(), held.token))
     }
@@ -125,7 +125,7 @@
 
 impl Fence {
     /// Accepts an owner's token, or returns the higher one that was seen before.
-    pub fn pass(&mut self, token: u64) -> Result<(), u64> {
+    pub fn accept(&mut self, token: u64) -> Result<(), u64> {
         if token < self.seen {
             return Err(self.seen);
         }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -3,15 +3,15 @@
 //! disk are arguments. `crankpick-carry` drives it with sockets and a disk; tests drive it with injected
 //! faults in virtual time.
 
-pub mod agree;
-pub mod found;
-pub mod kept;
-pub mod lead;
+pub mod consensus;
+pub mod leader;
 pub mod lease;
+pub mod log_creation;
+pub mod messages;
 pub mod node;
-pub mod order;
+pub mod observation;
+pub mod scheduler;
 pub mod session;
-pub mod sight;
 pub mod state;
-pub mod words;
+pub mod storage;
 pub mod work;
--- a/crates/fleet/src/words.rs
+++ b/crates/fleet/src/messages.rs
@@ -5,9 +5,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::sight::{Seen, Sight};
+use crate::observation::{FleetView, ProxyReport};
 use crate::state::{Command, Outcome};
-use crate::work::{Absent, Terms, Work};
+use crate::work::{DepartedProxy, SendPolicy, Work};
 
 /// The duty of publishing which backends are out of service for the whole fleet.
 pub const OUTS: &str = "outs";
@@ -18,12 +18,12 @@
 
 /// One process of one proxy. The name survives restarts; the incarnation is new with each start.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Who {
+pub struct ProcessId {
     pub name: String,
     pub incarnation: u64,
 }
 
-impl std::fmt::Display for Who {
+impl std::fmt::Display for ProcessId {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}.{:x}", self.name, self.incarnation)
     }
@@ -42,7 +42,7 @@
 /// Heartbeat of a session, with the sender's current state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Renewal {
-    pub who: Who,
+    pub who: ProcessId,
     /// In the sender's own clock. Only the sender reads it, from the answer that echoes it.
     pub sent_us: u64,
     /// Whether this process accepts ownership of duties.
@@ -58,8 +58,8 @@
     pub heard: u64,
     /// The version that its disk holds, if the disk accepts writes.
     pub kept: u64,
-    pub terms: Terms,
-    pub seen: Seen,
+    pub terms: SendPolicy,
+    pub seen: ProxyReport,
     /// The revision of the maintenance plans that it holds as owner of the work duty.
     pub work: Option<u64>,
 }
@@ -67,7 +67,7 @@
 /// The leader's answer to a renewal, sent only after a majority has confirmed that it still leads.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Renewed {
-    pub who: Who,
+    pub who: ProcessId,
     pub sent_us: u64,
     /// A newer process of the same name has taken the session; this one no longer owns anything.
     pub superseded: bool,
@@ -84,16 +84,16 @@
     /// This proxy itself is to be drained for maintenance.
     pub drained: bool,
     /// Sent to the owner of the work duty: the plans, and the aggregated observations of all proxies.
-    pub work: Option<Box<Desk>>,
+    pub work: Option<Box<WorkContext>>,
 }
 
 /// Input for the owner of the work duty.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Desk {
+pub struct WorkContext {
     pub revision: u64,
     /// Sent if the owner holds a different revision.
     pub work: Option<Work>,
-    pub sight: Sight,
+    pub sight: FleetView,
 }
 
 /// Status of one proxy, as reported to operators.
@@ -124,7 +124,7 @@
     /// Proxies that have a session in the committed state but have not been heard from by this leader.
     pub unheard: Vec<String>,
     /// Proxies that have left but may still send queries.
-    pub absent: Vec<Absent>,
+    pub absent: Vec<DepartedProxy>,
 }
 
 /// A request from an operator.
@@ -141,7 +141,7 @@
 pub enum Told {
     Done(Outcome),
     Status(Box<Status>),
-    Work(Box<(Work, Sight)>),
+    Work(Box<(Work, FleetView)>),
     /// Temporary failure: there is no leader, or too many calls are in progress.
     NotNow(String),
 }
@@ -159,11 +159,11 @@
 
 /// A message between two processes of the fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Message {
     /// First message on each connection.
     Hello {
         fleet: String,
-        who: Who,
+        who: ProcessId,
         voter: bool,
     },
     /// Keepalive.
@@ -174,20 +174,20 @@
     Renew(Renewal),
     Renewed(Renewed),
     /// Asks the process to renew at once, because something that concerns it has changed.
-    Nudge(Who),
+    Nudge(ProcessId),
     /// An owner gives up a duty.
     Release {
         duty: String,
         token: u64,
-        who: Who,
+        who: ProcessId,
     },
     Ask {
-        who: Who,
+        who: ProcessId,
         call: u64,
         ask: Ask,
     },
     Told {
-        who: Who,
+        who: ProcessId,
         call: u64,
         told: Told,
     },
@@ -205,5 +205,5 @@
     /// This voter cannot serve sessions at the moment.
     Away,
     /// This process is exiting and has answered all queries that it accepted.
-    Part(Who),
+    Part(ProcessId),
 }
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -26,15 +26,15 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::kept::Kept;
-use crate::lead::Lead;
-use crate::lease::Times;
-use crate::order::Owner;
+use crate::leader::LeaderState;
+use crate::lease::Timing;
+use crate::messages::{Message, ProcessId, Publication};
+use crate::observation::View;
+use crate::scheduler::Owner;
 use crate::session::Session;
-use crate::sight::View;
 use crate::state::Fleet;
-use crate::words::{Publication, Who, Word};
-use crate::work::Terms;
+use crate::storage::PersistentState;
+use crate::work::SendPolicy;
 
 pub use output::{Event, Link, Output, Route, WorkStart};
 
@@ -50,21 +50,21 @@
     pub name: String,
     /// The voters' names, including this process's own if it is one.
     pub voters: Vec<String>,
-    pub times: Times,
-    pub terms: Terms,
+    pub times: Timing,
+    pub terms: SendPolicy,
 }
 
 /// One process of the fleet. All times are in microseconds by this process's own monotonic clock.
 pub struct Node {
     plan: Plan,
     /// This process's own name and incarnation.
-    process: Who,
+    process: ProcessId,
     seed: u64,
-    kept: Kept,
+    kept: PersistentState,
     pub session: Session,
     voter: Option<Voter>,
     /// Set while this process leads the voters.
-    leader: Option<Lead<Route>>,
+    leader: Option<LeaderState<Route>>,
     /// Why the disk accepts no writes, if it does not.
     disk_error: Option<String>,
     /// Index in `Plan::voters` of the voter that the session is with.
@@ -92,18 +92,18 @@
 
 impl Node {
     /// A process that starts now, with the contents of its disk. `seed` determines the election timeouts.
-    pub fn new(now_us: u64, plan: Plan, incarnation: u64, kept: Kept, seed: u64) -> Self {
-        let process = Who { name: plan.name.clone(), incarnation };
+    pub fn new(now_us: u64, plan: Plan, incarnation: u64, kept: PersistentState, seed: u64) -> Self {
+        let process = ProcessId { name: plan.name.clone(), incarnation };
         let mut session = Session::new(process.clone(), plan.times, kept.taken.clone());
         session.terms = plan.terms;
-        session.hurry(now_us);
+        session.renew_now(now_us);
         let mut node = Node {
             voter_index: spread(&process.name) % plan.voters.len().max(1),
             next_hello_us: now_us + plan.times.lease_us,
             plan,
             process,
             seed,
-            kept: Kept::default(),
+            kept: PersistentState::default(),
             session,
             voter: None,
             leader: None,
@@ -129,15 +129,15 @@
     }
 
     /// Takes over the contents of the disk.
-    fn load(&mut self, now_us: u64, kept: Kept) {
+    fn load(&mut self, now_us: u64, kept: PersistentState) {
         self.kept = kept;
         self.session.kept = self.kept.taken.as_ref().map_or(0, |taken| taken.version);
         self.start_voter(now_us);
     }
 
-    /// To be called at every tick (`Times::tick_us`) and after inputs.
+    /// To be called at every tick (`Timing::tick_us`) and after inputs.
     pub fn tick(&mut self, now_us: u64) {
-        for (duty, token) in self.session.holding.lapsed(now_us) {
+        for (duty, token) in self.session.leases.take_expired(now_us) {
             self.event(Event::LeaseExpired { duty, token });
         }
         self.repeat_hello(now_us);
@@ -167,7 +167,7 @@
         self.outputs.push_back(Output::Event(event));
     }
 
-    fn send(&mut self, link: Link, message: Word) {
+    fn send(&mut self, link: Link, message: Message) {
         self.outputs.push_back(Output::Send(link, message));
     }
 
@@ -175,9 +175,9 @@
 
     /// The first message on each connection. Only a process whose voter is running counts as a voter: during
     /// an upgrade, the newer process has the same name but no running voter.
-    pub fn hello(&self) -> Word {
+    pub fn hello(&self) -> Message {
         let voter = self.voter.is_some();
-        Word::Hello { fleet: self.plan.fleet.clone(), who: self.process.clone(), voter }
+        Message::Hello { fleet: self.plan.fleet.clone(), who: self.process.clone(), voter }
     }
 
     /// Name and incarnation.
@@ -187,7 +187,7 @@
 
     /// Whether it has the log and is a voting member.
     pub fn is_voter(&self) -> bool {
-        self.agreement().is_some_and(|agreement| agreement.started() && agreement.votes())
+        self.consensus().is_some_and(|consensus| consensus.started() && consensus.is_voter())
     }
 
     pub fn is_leader(&self) -> bool {
@@ -196,7 +196,7 @@
 
     /// The replicated state, if this process is a voter.
     pub fn fleet(&self) -> Option<&Fleet> {
-        self.agreement().filter(|agreement| agreement.started()).map(|agreement| &agreement.fleet)
+        self.consensus().filter(|consensus| consensus.started()).map(|consensus| &consensus.fleet)
     }
 
     /// Why the disk accepts no writes, if it does not.
@@ -206,12 +206,12 @@
 
     /// The state of this process in one line, for diagnostics.
     pub fn describe(&self) -> String {
-        let agreement = self.agreement().map(|agreement| {
-            let (term, leader) = (agreement.term(), agreement.leader().unwrap_or("nobody"));
-            format!("term {term}, leader {leader}, voters {:?}", agreement.fleet.seats)
+        let consensus = self.consensus().map(|consensus| {
+            let (term, leader) = (consensus.term(), consensus.leader().unwrap_or("nobody"));
+            format!("term {term}, leader {leader}, voters {:?}", consensus.fleet.seats)
         });
         let taken = self.session.taken.as_ref().map_or(0, |taken| taken.version);
-        format!("seat {}, {agreement:?}, version {taken}, led by {:?}", self.kept.seat, self.session.leader)
+        format!("seat {}, {consensus:?}, version {taken}, led by {:?}", self.kept.seat, self.session.leader)
     }
 
     // Inputs from the proxy.
@@ -219,37 +219,37 @@
     /// The proxy's dispatch has applied this version; at `busy`, of the backends that are out, it still has
     /// queries in progress.
     pub fn version_applied(&mut self, now_us: u64, version: u64, busy: BTreeSet<String>) {
-        self.session.acts(now_us, version, busy);
+        self.session.record_applied(now_us, version, busy);
         self.report_send_right();
     }
 
     /// The proxy's observations of its backends.
     pub fn set_view(&mut self, view: View) {
-        self.session.sees(view);
+        self.session.set_view(view);
     }
 
     /// Whether the proxy has no queries in progress.
     pub fn set_idle(&mut self, now_us: u64, idle: bool) {
-        if self.session.empty != idle {
-            self.session.empty = idle;
-            self.session.hurry(now_us);
+        if self.session.idle != idle {
+            self.session.idle = idle;
+            self.session.renew_now(now_us);
         }
     }
 
     /// The longest that one of the proxy's executions may take.
     pub fn set_longest_execution(&mut self, now_us: u64, longest_us: u64) {
         self.session.terms.longest_us = longest_us;
-        self.session.hurry(now_us);
+        self.session.renew_now(now_us);
     }
 
     /// Whether this process accepts duties: not while it is drained or exiting.
     pub fn set_willing(&mut self, now_us: u64, willing: bool) {
         self.session.willing = willing && !self.exiting;
         if !self.session.willing {
-            let released = self.session.let_go_all(now_us);
+            let released = self.session.release_all(now_us);
             self.report_released(released);
         }
-        self.session.hurry(now_us);
+        self.session.renew_now(now_us);
     }
 
     /// The process is about to exit: hands over its duties and the leadership at once.
@@ -266,18 +266,18 @@
     }
 
     /// A process exits: recorded if this is the leader, forwarded to the leader otherwise.
-    fn process_exits(&mut self, now_us: u64, process: Who) {
+    fn process_exits(&mut self, now_us: u64, process: ProcessId) {
         if let Some(leader) = &mut self.leader {
-            leader.parted(process);
+            leader.process_exited(process);
             self.tick(now_us);
         } else if let Some(link) = self.link_to_leader() {
-            self.send(link, Word::Part(process));
+            self.send(link, Message::Part(process));
         }
     }
 
     /// Reports to the proxy until when it may send, if that has changed.
     fn report_send_right(&mut self) {
-        let send_until_us = self.session.right_until();
+        let send_until_us = self.session.send_until_us();
         if send_until_us != self.send_until_us {
             self.send_until_us = send_until_us;
             self.outputs.push_back(Output::SendUntil(send_until_us));
--- a/crates/fleet/src/node/calls.rs
+++ b/crates/fleet/src/node/calls.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use crate::state::{Command, MOST_ID};
-use crate::words::{Ask, Told, Word};
+use crate::messages::{Ask, Message, Told};
+use crate::state::{Command, MAX_ID_BYTES};
 
 use super::requests::Requester;
 use super::{Node, Output, Route};
@@ -12,9 +12,9 @@
 pub(super) const RETRY_US: u64 = 300_000;
 /// Maximum number of calls in progress: this process's own, and those of others that the leader has not
 /// answered yet.
-pub(super) const MOST_CALLS: usize = 1_024;
+pub(super) const MAX_CALLS: usize = 1_024;
 /// Maximum number of backend ids in one call.
-const MOST_IDS: usize = 1_000;
+const MAX_IDS: usize = 1_000;
 
 const TIMED_OUT: &str = "the fleet did not answer in time: it may be agreed all the same";
 
@@ -39,8 +39,8 @@
     }
 
     fn add(&mut self, now_us: u64, ask: Ask, patience_us: u64) -> Result<u64, String> {
-        if self.pending.len() >= MOST_CALLS {
-            return Err("too many calls in hand".into());
+        if self.pending.len() >= MAX_CALLS {
+            return Err("too many calls in progress".into());
         }
         let number = self.next_number();
         self.pending.insert(number, Call { ask, expires_us: now_us + patience_us, retry_us: now_us });
@@ -78,7 +78,7 @@
     pub fn ask(&mut self, now_us: u64, ask: Ask, patience_us: u64) -> Result<u64, String> {
         check_ids(&ask)?;
         if matches!(&ask, Ask::Command(command) if !from_operator(command)) {
-            return Err("no call for an operator".into());
+            return Err("operators may not issue this command".into());
         }
         self.call(now_us, ask, patience_us)
     }
@@ -106,7 +106,7 @@
             let requester = Requester { route: Route::Own, process, call: number };
             self.answer_as_leader(now_us, requester, ask);
         } else if let Some(link) = link {
-            self.send(link, Word::Ask { who: process, call: number, ask });
+            self.send(link, Message::Ask { who: process, call: number, ask });
         }
     }
 
@@ -121,11 +121,11 @@
 
 fn check_ids(ask: &Ask) -> Result<(), String> {
     let Ask::Command(Command::Outs { ids, .. }) = ask else { return Ok(()) };
-    if ids.is_empty() || ids.len() > MOST_IDS {
-        return Err(format!("1 to {MOST_IDS} ids in a call"));
+    if ids.is_empty() || ids.len() > MAX_IDS {
+        return Err(format!("a call takes 1 to {MAX_IDS} ids"));
     }
-    if ids.iter().any(|id| id.is_empty() || id.len() > MOST_ID) {
-        return Err(format!("an id is 1 to {MOST_ID} bytes"));
+    if ids.iter().any(|id| id.is_empty() || id.len() > MAX_ID_BYTES) {
+        return Err(format!("an id must have 1 to {MAX_ID_BYTES} bytes"));
     }
     Ok(())
 }
--- a/crates/fleet/src/node/maintenance.rs
+++ b/crates/fleet/src/node/maintenance.rs
@@ -3,10 +3,10 @@
 
 use std::collections::BTreeSet;
 
-use crate::order::{Before, Begin, Do, Owner};
-use crate::sight::Sight;
+use crate::messages::{Ask, WORK};
+use crate::observation::FleetView;
+use crate::scheduler::{Action, Owner, SchedulerInput, WorkStartRequest};
 use crate::state::Command;
-use crate::words::{Ask, WORK};
 use crate::work::{Step, Work};
 
 use super::calls::RETRY_US;
@@ -26,25 +26,28 @@
     /// the leader.
     pub(super) fn do_work(&mut self, now_us: u64) {
         self.reviewed_us = now_us;
-        let Some(token) = self.session.holding.token(now_us, WORK) else {
-            (self.work_owner, self.session.desk) = (None, None);
+        let Some(token) = self.session.leases.token(now_us, WORK) else {
+            (self.work_owner, self.session.work_context) = (None, None);
             return;
         };
-        let Some((work, sight)) =
-            self.session.desk.as_ref().and_then(|desk| Some((desk.work.as_ref()?, &desk.sight)))
+        let Some((work, sight)) = self
+            .session
+            .work_context
+            .as_ref()
+            .and_then(|work_context| Some((work_context.work.as_ref()?, &work_context.sight)))
         else {
             return;
         };
         let taken = self.session.taken.as_ref().map(|taken| taken.outs.clone()).unwrap_or_default();
         let outs = &taken | &work.outs();
-        let before = self.plan.before(now_us, self.wall_us, work, sight, &outs, token);
-        for next in self.work_owner.get_or_insert_default().next(&before) {
+        let input = self.plan.input(now_us, self.wall_us, work, sight, &outs, token);
+        for next in self.work_owner.get_or_insert_default().next(&input) {
             match next {
-                Do::Steps(steps) => self.take_steps(now_us, steps),
-                Do::Waits { plan, why } => {
+                Action::Steps(steps) => self.take_steps(now_us, steps),
+                Action::Waits { plan, why } => {
                     let _ = self.call(now_us, Ask::Command(Command::Waits { token, plan, why }), RETRY_US);
                 }
-                Do::Begin(call) => self.outputs.push_back(Output::StartWork(call)),
+                Action::StartWork(call) => self.outputs.push_back(Output::StartWork(call)),
             }
         }
     }
@@ -55,14 +58,14 @@
     }
 
     /// Handles the maintenance system's answer to `Output::StartWork`.
-    pub fn work_start_answered(&mut self, now_us: u64, call: &Begin, answer: WorkStart) {
+    pub fn work_start_answered(&mut self, now_us: u64, call: &WorkStartRequest, answer: WorkStart) {
         match answer {
             WorkStart::Started => {
                 let step = self.step_after_start(now_us, call);
                 self.take_steps(now_us, step.into_iter().collect());
             }
             WorkStart::StaleToken(seen) => {
-                let why = format!("the maintenance system has heard of token {seen}");
+                let why = format!("the maintenance system has seen token {seen}");
                 self.event(Event::WorkNotStarted { machine: call.machine.clone(), why });
                 self.lose_duty(WORK, call.token);
             }
@@ -72,27 +75,27 @@
         }
     }
 
-    fn step_after_start(&self, now_us: u64, call: &Begin) -> Option<Step> {
-        let token = self.session.holding.token(now_us, WORK)?;
-        let desk = self.session.desk.as_ref()?;
-        let (work, outs) = (desk.work.as_ref()?, BTreeSet::new());
-        let before = self.plan.before(now_us, self.wall_us, work, &desk.sight, &outs, token);
-        Owner::begun(&before, call)
+    fn step_after_start(&self, now_us: u64, call: &WorkStartRequest) -> Option<Step> {
+        let token = self.session.leases.token(now_us, WORK)?;
+        let work_context = self.session.work_context.as_ref()?;
+        let (work, outs) = (work_context.work.as_ref()?, BTreeSet::new());
+        let input = self.plan.input(now_us, self.wall_us, work, &work_context.sight, &outs, token);
+        Owner::step_after_start(&input, call)
     }
 }
 
 impl Plan {
     /// The scheduler's input.
-    fn before<'a>(
+    fn input<'a>(
         &'a self,
         now_us: u64,
         wall_us: u64,
         work: &'a Work,
-        sight: &'a Sight,
+        sight: &'a FleetView,
         outs: &'a BTreeSet<String>,
         token: u64,
-    ) -> Before<'a> {
+    ) -> SchedulerInput<'a> {
         let patience_us = self.times.lease_us + self.times.session_us;
-        Before { now_us, wall_us, work, sight, outs, voters: &self.voters, token, patience_us }
+        SchedulerInput { now_us, wall_us, work, sight, outs, voters: &self.voters, token, patience_us }
     }
 }
--- a/crates/fleet/src/node/messages.rs
+++ b/crates/fleet/src/node/messages.rs
@@ -1,13 +1,13 @@
 //! Incoming messages: identifies the sender, dispatches to the part concerned, and determines the return
 //! route.
 
-use crate::words::{Who, Word};
+use crate::messages::{Message, ProcessId};
 
 use super::{Event, Link, Node, Output};
 
 /// The process at the other end of an accepted connection, as introduced by its hello.
 pub(super) struct Peer {
-    process: Who,
+    process: ProcessId,
     voter: bool,
 }
 
@@ -20,8 +20,8 @@
 
 impl Node {
     /// Handles a message. A message from a connection without a preceding hello is dropped.
-    pub fn receive(&mut self, now_us: u64, link: Link, message: Word) {
-        if let (Link::Conn(conn), Word::Hello { fleet, who, voter }) = (&link, &message) {
+    pub fn receive(&mut self, now_us: u64, link: Link, message: Message) {
+        if let (Link::Conn(conn), Message::Hello { fleet, who, voter }) = (&link, &message) {
             self.introduce(*conn, fleet, who, *voter);
             return;
         }
@@ -30,7 +30,7 @@
         }
     }
 
-    fn introduce(&mut self, conn: u64, fleet: &str, process: &Who, voter: bool) {
+    fn introduce(&mut self, conn: u64, fleet: &str, process: &ProcessId, voter: bool) {
         if fleet != self.plan.fleet {
             self.event(Event::ForeignFleet { fleet: fleet.to_owned(), from: process.name.clone() });
             self.outputs.push_back(Output::Close(Link::Conn(conn)));
@@ -48,33 +48,33 @@
         Some(Sender { name, voter, link })
     }
 
-    fn dispatch(&mut self, now_us: u64, sender: Sender, message: Word) {
+    fn dispatch(&mut self, now_us: u64, sender: Sender, message: Message) {
         // Messages are forwarded at most once. Otherwise two voters that each take the other for the leader
         // would forward a message to each other forever.
-        let direct = |process: &Who| process.name == sender.name;
+        let direct = |process: &ProcessId| process.name == sender.name;
         match message {
-            Word::Hello { .. } | Word::Beat => {}
-            Word::Seat(seat) => self.receive_seat(&sender, seat),
-            Word::Agree(message) => self.receive_agreement(&sender, &message),
-            Word::Renew(renewal) => self.receive_renewal(now_us, &sender, renewal),
-            Word::Renewed(answer) if answer.who == self.process => self.renewed(now_us, answer),
-            Word::Renewed(answer) => self.pass_on(answer.who.clone(), Word::Renewed(answer)),
-            Word::Nudge(process) if process == self.process => self.session.hurry(now_us),
-            Word::Nudge(process) => self.pass_on(process.clone(), Word::Nudge(process)),
-            Word::Release { duty, token, who } => {
+            Message::Hello { .. } | Message::Beat => {}
+            Message::Seat(seat) => self.receive_seat(&sender, seat),
+            Message::Agree(message) => self.receive_consensus(&sender, &message),
+            Message::Renew(renewal) => self.receive_renewal(now_us, &sender, renewal),
+            Message::Renewed(answer) if answer.who == self.process => self.renewed(now_us, answer),
+            Message::Renewed(answer) => self.pass_on(answer.who.clone(), Message::Renewed(answer)),
+            Message::Nudge(process) if process == self.process => self.session.renew_now(now_us),
+            Message::Nudge(process) => self.pass_on(process.clone(), Message::Nudge(process)),
+            Message::Release { duty, token, who } => {
                 if self.leader.is_some() || direct(&who) {
                     self.release(duty, token, who);
                 }
             }
-            Word::Ask { who, call, ask } => self.receive_request(now_us, &sender, who, call, ask),
-            Word::Told { who, call, told } if who == self.process => self.complete_call(call, told),
-            Word::Told { who, call, told } => self.pass_on(who.clone(), Word::Told { who, call, told }),
-            Word::Publish { publication, passed } => {
+            Message::Ask { who, call, ask } => self.receive_request(now_us, &sender, who, call, ask),
+            Message::Told { who, call, told } if who == self.process => self.complete_call(call, told),
+            Message::Told { who, call, told } => self.pass_on(who.clone(), Message::Told { who, call, told }),
+            Message::Publish { publication, passed } => {
                 self.receive_publication(sender.link, publication, passed);
             }
-            Word::Stale { duty, token, .. } => self.lose_duty(&duty, token),
-            Word::Away => self.next_session_voter(now_us),
-            Word::Part(process) => {
+            Message::Stale { duty, token, .. } => self.lose_duty(&duty, token),
+            Message::Away => self.next_session_voter(now_us),
+            Message::Part(process) => {
                 // A process announces only its own exit; a voter may forward the announcement to the leader.
                 if direct(&process) || sender.voter && self.leader.is_some() {
                     self.process_exits(now_us, process);
@@ -86,7 +86,7 @@
     /// A receiver or a maintenance system reports that the lease belongs to another process. That overrides
     /// the local clock.
     pub(super) fn lose_duty(&mut self, duty: &str, token: u64) {
-        if self.session.holding.let_go(duty, token) {
+        if self.session.leases.release(duty, token) {
             self.report_released(vec![(duty.to_owned(), token)]);
         }
     }
@@ -112,7 +112,7 @@
 
     /// Forwards to the process over a connection accepted from it: preferably one that is not a voter's, and
     /// the latest.
-    fn pass_on(&mut self, process: Who, message: Word) {
+    fn pass_on(&mut self, process: ProcessId, message: Message) {
         let mut connections = self.peers.iter().rev().filter(|(_, peer)| peer.process == process);
         let latest = connections.clone().next();
         let connection = connections.find(|(_, peer)| !peer.voter).or(latest);
--- a/crates/fleet/src/node/output.rs
+++ b/crates/fleet/src/node/output.rs
@@ -1,7 +1,7 @@
 //! Outputs of a node to its host: messages to send, changes for the proxy, and events for the log.
 
-use crate::order::Begin;
-use crate::words::{Publication, Told, Word};
+use crate::messages::{Message, Publication, Told};
+use crate::scheduler::WorkStartRequest;
 use crate::work::Step;
 
 /// A route to another process: a connection opened to a voter, or an accepted one.
@@ -112,11 +112,11 @@
 /// An instruction to the host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    Send(Link, Word),
+    Send(Link, Message),
     /// Receive nothing more from there.
     Close(Link),
     /// The new first message of each connection; connections that are already open get it too.
-    Hello(Word),
+    Hello(Message),
     /// For the proxy: the set of backends that are out of service fleet-wide.
     Apply(Publication),
     /// The answer to the call of this number.
@@ -127,5 +127,5 @@
     /// Whether the proxy itself is to be drained for maintenance.
     Drain(bool),
     /// For the maintenance system.
-    StartWork(Begin),
+    StartWork(WorkStartRequest),
 }
--- a/crates/fleet/src/node/persistence.rs
+++ b/crates/fleet/src/node/persistence.rs
@@ -1,13 +1,13 @@
 //! Persistence: what must be written before any output is released, and the handling of write failures.
 
-use crate::kept::{Batch, Disk, Kept};
-use crate::words::Word;
+use crate::messages::Message;
+use crate::storage::{Batch, Disk, PersistentState};
 
 use super::{Event, Link, Node, Output};
 
 /// Maximum number of consensus rounds in one call to `pump`, since proposals and their outcomes trigger one
 /// another.
-const MOST_ROUNDS: usize = 8;
+const MAX_ROUNDS: usize = 8;
 
 impl Node {
     /// Advances everything as far as possible now. The resulting outputs are returned by `take_outputs`.
@@ -22,9 +22,9 @@
 
     fn try_pump(&mut self, now_us: u64, disk: &mut dyn Disk) -> Result<(), String> {
         self.write_publication(disk)?;
-        self.advance_founding(now_us, disk)?;
-        for _ in 0..MOST_ROUNDS {
-            if !self.advance_agreement(now_us, disk)? {
+        self.advance_log_creation(now_us, disk)?;
+        for _ in 0..MAX_ROUNDS {
+            if !self.advance_consensus(now_us, disk)? {
                 break;
             }
         }
@@ -47,11 +47,11 @@
     }
 
     /// One round of consensus. Returns whether there may be more to do.
-    fn advance_agreement(&mut self, now_us: u64, disk: &mut dyn Disk) -> Result<bool, String> {
-        let Some(agreement) = self.agreement_mut() else { return Ok(false) };
-        let progress = agreement.pump(disk)?;
+    fn advance_consensus(&mut self, now_us: u64, disk: &mut dyn Disk) -> Result<bool, String> {
+        let Some(consensus) = self.consensus_mut() else { return Ok(false) };
+        let progress = consensus.pump(disk)?;
         for (voter, message) in progress.messages {
-            self.send_agreement(voter, message);
+            self.send_consensus(voter, message);
         }
         for name in progress.replaced {
             self.event(Event::VoterReplaced { name });
@@ -68,15 +68,15 @@
         Ok(advanced)
     }
 
-    fn send_agreement(&mut self, voter: u64, message: Vec<u8>) {
-        let name = self.agreement().and_then(|agreement| agreement.name(voter)).map(str::to_owned);
+    fn send_consensus(&mut self, voter: u64, message: Vec<u8>) {
+        let name = self.consensus().and_then(|consensus| consensus.voter_name(voter)).map(str::to_owned);
         if let Some(name) = name {
-            self.send(Link::Voter(name), Word::Agree(message));
+            self.send(Link::Voter(name), Message::Agree(message));
         }
     }
 
     /// The disk accepts writes again; `kept` is its contents, read anew.
-    pub fn disk_recovered(&mut self, now_us: u64, kept: Kept) {
+    pub fn disk_recovered(&mut self, now_us: u64, kept: PersistentState) {
         if self.disk_error.take().is_none() {
             return;
         }
@@ -85,7 +85,7 @@
         // What was accepted in the meantime has not been written yet.
         self.unwritten = self.session.taken.clone().filter(|taken| kept.taken.as_ref() != Some(taken));
         self.load(now_us, kept);
-        self.session.hurry(now_us);
+        self.session.renew_now(now_us);
     }
 
     /// The disk is not available, at the start or later. This process stops voting and owning duties, and
@@ -101,11 +101,11 @@
         self.voter = None;
         let hello = self.hello();
         self.outputs.push_back(Output::Hello(hello));
-        let released = self.session.let_go_all(u64::MIN);
+        let released = self.session.release_all(u64::MIN);
         self.report_released(released);
-        self.session.hurry(0);
+        self.session.renew_now(0);
         for conn in self.peers.keys() {
-            self.outputs.push_back(Output::Send(Link::Conn(*conn), Word::Away));
+            self.outputs.push_back(Output::Send(Link::Conn(*conn), Message::Away));
         }
     }
 }
--- a/crates/fleet/src/node/publication.rs
+++ b/crates/fleet/src/node/publication.rs
@@ -1,7 +1,7 @@
 //! Publications of the set of backends that are out: made by the duty's owner, checked by each receiver's
 //! fence, and distributed by the voters.
 
-use crate::words::{Publication, Word, OUTS};
+use crate::messages::{Message, Publication, OUTS};
 
 use super::{Event, Link, Node, Output};
 
@@ -16,7 +16,7 @@
                 self.publish_to_sessions(&publication);
             }
         } else if let Some(link) = self.link_to_leader() {
-            self.send(link, Word::Publish { publication, passed: false });
+            self.send(link, Message::Publish { publication, passed: false });
         }
     }
 
@@ -36,13 +36,13 @@
     }
 
     fn publish_to_voters(&mut self, publication: &Publication) {
-        self.send_to_voters(&Word::Publish { publication: publication.clone(), passed: true });
+        self.send_to_voters(&Message::Publish { publication: publication.clone(), passed: true });
     }
 
     fn publish_to_sessions(&mut self, publication: &Publication) {
         for conn in self.session_connections() {
             let publication = publication.clone();
-            self.send(Link::Conn(conn), Word::Publish { publication, passed: true });
+            self.send(Link::Conn(conn), Message::Publish { publication, passed: true });
         }
     }
 
@@ -51,7 +51,7 @@
     fn apply_publication(&mut self, from: Option<Link>, publication: &Publication) -> bool {
         let (duty, owner) = (OUTS.to_owned(), publication.owner.clone());
         let (token, version) = (publication.token, publication.version);
-        match self.session.take(publication) {
+        match self.session.accept(publication) {
             Ok(false) => false,
             Ok(true) => {
                 self.event(Event::PublicationApplied { duty, token, version, owner });
@@ -62,7 +62,7 @@
             Err(seen) => {
                 self.event(Event::StalePublication { duty: duty.clone(), token, version, owner, seen });
                 if let Some(link) = from {
-                    self.send(link, Word::Stale { duty, token, seen });
+                    self.send(link, Message::Stale { duty, token, seen });
                 }
                 false
             }
--- a/crates/fleet/src/node/renewal.rs
+++ b/crates/fleet/src/node/renewal.rs
@@ -1,9 +1,9 @@
 //! Renewals: this process's own heartbeats to the leader and their answers, and those of other processes,
 //! forwarded.
 
-use crate::agree::Agree;
+use crate::consensus::Consensus;
+use crate::messages::{Message, Renewal, Renewed};
 use crate::session::Changes;
-use crate::words::{Renewal, Renewed, Word};
 
 use super::messages::Sender;
 use super::{Event, Link, Node, Output, Route};
@@ -12,9 +12,9 @@
     /// The route to the leader: direct from a voter, otherwise through the voter that the session is with.
     /// None for the leader itself.
     pub(super) fn link_to_leader(&self) -> Option<Link> {
-        match self.agreement().filter(|agreement| agreement.started()) {
-            Some(agreement) if agreement.leads() => None,
-            Some(agreement) => agreement.leader().map(|leader| Link::Voter(leader.to_owned())),
+        match self.consensus().filter(|consensus| consensus.started()) {
+            Some(consensus) if consensus.is_leader() => None,
+            Some(consensus) => consensus.leader().map(|leader| Link::Voter(leader.to_owned())),
             None => self.session_voter().map(|voter| Link::Voter(voter.to_owned())),
         }
     }
@@ -30,26 +30,28 @@
         let position = |name: &str| self.plan.voters.iter().position(|voter| voter == name);
         let index = self.session_voter().and_then(position).unwrap_or(self.voter_index);
         self.voter_index = (index + 1) % self.plan.voters.len().max(1);
-        self.session.hurry(now_us);
+        self.session.renew_now(now_us);
     }
 
     /// Renews the session, if that is due.
     pub(super) fn renew(&mut self, now_us: u64) {
-        if self.session.forsaken(now_us) && self.agreement().is_none_or(|agreement| !agreement.started()) {
+        if self.session.answer_overdue(now_us)
+            && self.consensus().is_none_or(|consensus| !consensus.started())
+        {
             self.next_session_voter(now_us);
         }
-        let Some(renewal) = self.session.due(now_us, self.voter.is_some()) else { return };
+        let Some(renewal) = self.session.next_renewal(now_us, self.voter.is_some()) else { return };
         if let Some(leader) = &mut self.leader {
-            leader.hear(now_us, renewal, Route::Own);
+            leader.record_renewal(now_us, renewal, Route::Own);
         } else if let Some(link) = self.link_to_leader() {
-            self.send(link, Word::Renew(renewal));
+            self.send(link, Message::Renew(renewal));
         }
     }
 
     /// Handles the answer to this process's own renewal.
     pub(super) fn renewed(&mut self, now_us: u64, answer: Renewed) {
         let was_superseded = self.session.superseded;
-        let changes = self.session.renewed(now_us, answer);
+        let changes = self.session.handle_answer(now_us, answer);
         if self.session.superseded && !was_superseded {
             self.event(Event::Superseded);
         }
@@ -65,8 +67,8 @@
             let (token, from_us, until_us) = (held.token, held.from_us, held.until_us);
             self.event(Event::LeaseHeld { duty, token, from_us, until_us });
         }
-        for (duty, token) in changes.let_go {
-            self.session.holding.let_go(&duty, token);
+        for (duty, token) in changes.released {
+            self.session.leases.release(&duty, token);
             self.report_released(vec![(duty, token)]);
         }
     }
@@ -101,7 +103,7 @@
         }
         let route = Route::Link(self.return_link(sender));
         if let Some(leader) = &mut self.leader {
-            leader.hear(now_us, renewal, route);
+            leader.record_renewal(now_us, renewal, route);
         } else if direct {
             self.pass_on_renewal(sender, renewal);
         }
@@ -110,17 +112,17 @@
     fn send_missed(&mut self, sender: &Sender, renewal: &Renewal) {
         if let Some(publication) = self.session.missed_by(renewal).cloned() {
             let link = self.return_link(sender);
-            self.send(link, Word::Publish { publication, passed: true });
+            self.send(link, Message::Publish { publication, passed: true });
         }
     }
 
     /// Forwards at most once, to the leader as last known.
     fn pass_on_renewal(&mut self, sender: &Sender, renewal: Renewal) {
-        match self.agreement().and_then(Agree::leader).map(str::to_owned) {
+        match self.consensus().and_then(Consensus::leader).map(str::to_owned) {
             Some(leader) if leader != self.process.name => {
-                self.send(Link::Voter(leader), Word::Renew(renewal));
+                self.send(Link::Voter(leader), Message::Renew(renewal));
             }
-            _ if self.voter.is_none() => self.send(sender.link.clone(), Word::Away),
+            _ if self.voter.is_none() => self.send(sender.link.clone(), Message::Away),
             _ => {}
         }
     }
--- a/crates/fleet/src/node/requests.rs
+++ b/crates/fleet/src/node/requests.rs
@@ -1,11 +1,11 @@
 //! Requests of other processes: answered by the leader, forwarded to it by other voters.
 
-use crate::agree::Agree;
+use crate::consensus::Consensus;
+use crate::messages::{Ask, Message, ProcessId, Status, Told};
 use crate::state::{Command, Outcome};
-use crate::words::{Ask, Status, Told, Who, Word};
 use crate::work::Stage;
 
-use super::calls::MOST_CALLS;
+use super::calls::MAX_CALLS;
 use super::messages::Sender;
 use super::{Link, Node, Route};
 
@@ -14,7 +14,7 @@
 /// The origin of a request: the process, its number for the call, and the route back to it.
 pub(super) struct Requester {
     pub(super) route: Route,
-    pub(super) process: Who,
+    pub(super) process: ProcessId,
     pub(super) call: u64,
 }
 
@@ -23,7 +23,7 @@
         &mut self,
         now_us: u64,
         sender: &Sender,
-        process: Who,
+        process: ProcessId,
         call: u64,
         ask: Ask,
     ) {
@@ -34,11 +34,11 @@
             self.answer_as_leader(now_us, requester, ask);
             return;
         }
-        let leader = self.agreement().and_then(Agree::leader).map(str::to_owned);
+        let leader = self.consensus().and_then(Consensus::leader).map(str::to_owned);
         match leader.filter(|leader| *leader != self.process.name && direct) {
             Some(leader) => {
                 let Requester { process, call, .. } = requester;
-                self.send(Link::Voter(leader), Word::Ask { who: process, call, ask });
+                self.send(Link::Voter(leader), Message::Ask { who: process, call, ask });
             }
             None => self.answer(requester, Told::NotNow(NO_LEADER.into())),
         }
@@ -64,15 +64,15 @@
             self.answer(requester, Told::Done(Outcome::Refused(why)));
             return;
         }
-        if self.proposals.len() >= MOST_CALLS {
-            self.answer(requester, Told::NotNow("too much in hand".into()));
+        if self.proposals.len() >= MAX_CALLS {
+            self.answer(requester, Told::NotNow("too many calls in progress".into()));
             return;
         }
         let number = self.calls.next_number();
         if self.propose(number, command) {
             self.proposals.insert(number, requester);
         } else {
-            self.answer(requester, Told::NotNow("the log takes nothing now".into()));
+            self.answer(requester, Told::NotNow("the log accepts no proposals now".into()));
         }
     }
 
@@ -80,7 +80,7 @@
     /// the leader knows of a proxy that may still send to the machine.
     fn unproven_step(&mut self, now_us: u64, command: &Command) -> Option<String> {
         let Command::Steps(steps) = command else { return None };
-        let fleet = &self.voter.as_ref()?.agreement.as_ref()?.fleet;
+        let fleet = &self.voter.as_ref()?.consensus.as_ref()?.fleet;
         let leader = self.leader.as_ref()?;
         steps.iter().filter(|step| step.to == Stage::Out).find_map(|step| {
             let machine = fleet.work.plans.get(&step.plan)?.machines.get(&step.machine)?;
@@ -92,36 +92,36 @@
     pub(super) fn answer(&mut self, requester: Requester, told: Told) {
         let Requester { route, process, call } = requester;
         match route {
-            Route::Link(link) => self.send(link, Word::Told { who: process, call, told }),
+            Route::Link(link) => self.send(link, Message::Told { who: process, call, told }),
             Route::Own => self.complete_call(call, told),
         }
     }
 
     fn status(&self, now_us: u64) -> Told {
-        let (Some(agreement), Some(leader)) = (self.agreement(), &self.leader) else {
+        let (Some(consensus), Some(leader)) = (self.consensus(), &self.leader) else {
             return Told::NotNow(NO_LEADER.into());
         };
-        let fleet = &agreement.fleet;
-        let owner = |owner: &Option<Who>| owner.as_ref().map(|who| who.name.clone());
+        let fleet = &consensus.fleet;
+        let owner = |owner: &Option<ProcessId>| owner.as_ref().map(|who| who.name.clone());
         let duties = fleet.duties.iter();
         Told::Status(Box::new(Status {
             leader: self.process.name.clone(),
-            term: agreement.term(),
+            term: consensus.term(),
             version: fleet.version,
             outs: fleet.published(),
             duties: duties.map(|(name, duty)| (name.clone(), (owner(&duty.owner), duty.token))).collect(),
             members: leader.members(now_us),
-            unheard: fleet.sessions.keys().filter(|name| !leader.heard_of(name)).cloned().collect(),
+            unheard: fleet.sessions.keys().filter(|name| !leader.has_heard_from(name)).cloned().collect(),
             absent: fleet.absent.values().cloned().collect(),
         }))
     }
 
     fn work_status(&mut self, now_us: u64) -> Told {
-        let agreement = self.voter.as_ref().and_then(|voter| voter.agreement.as_ref());
-        let (Some(agreement), Some(leader)) = (agreement, &mut self.leader) else {
+        let consensus = self.voter.as_ref().and_then(|voter| voter.consensus.as_ref());
+        let (Some(consensus), Some(leader)) = (consensus, &mut self.leader) else {
             return Told::NotNow(NO_LEADER.into());
         };
-        let sight = leader.sight(now_us, &agreement.fleet, &self.plan.times);
-        Told::Work(Box::new((agreement.fleet.work.clone(), sight)))
+        let sight = leader.fleet_view(now_us, &consensus.fleet, &self.plan.times);
+        Told::Work(Box::new((consensus.fleet.work.clone(), sight)))
     }
 }
--- a/crates/fleet/src/node/voter.rs
+++ b/crates/fleet/src/node/voter.rs
@@ -1,9 +1,9 @@
 //! The voter of a process: creation of the log, and the consensus that maintains it.
 
-use crate::agree::{founding, Agree};
-use crate::found::{Founding, Next};
-use crate::kept::{Batch, Disk};
-use crate::words::{Roster, Seat, Word};
+use crate::consensus::{initial_batch, Consensus};
+use crate::log_creation::{CreationStep, LogCreation};
+use crate::messages::{Message, Roster, Seat};
+use crate::storage::{Batch, Disk};
 
 use super::messages::Sender;
 use super::{Event, Link, Node, Output};
@@ -12,35 +12,35 @@
 const SEAT_INTERVAL_US: u64 = 200_000;
 /// Maximum number of missed ticks that are caught up one by one. After a longer pause, one tick stands for
 /// all missed ones.
-const MOST_LATE_TICKS: u64 = 4;
+const MAX_CATCH_UP_TICKS: u64 = 4;
 
 /// Absent in a process that is not a voter or whose disk accepts no writes.
 pub(super) struct Voter {
-    pub(super) founding: Founding,
+    pub(super) log_creation: LogCreation,
     /// None until the log has been created.
-    pub(super) agreement: Option<Agree>,
+    pub(super) consensus: Option<Consensus>,
     next_seat_us: u64,
     next_tick_us: u64,
 }
 
 impl Voter {
-    pub(super) fn new(now_us: u64, founding: Founding) -> Self {
-        Voter { founding, agreement: None, next_seat_us: now_us, next_tick_us: now_us }
+    pub(super) fn new(now_us: u64, log_creation: LogCreation) -> Self {
+        Voter { log_creation, consensus: None, next_seat_us: now_us, next_tick_us: now_us }
     }
 
     fn started(&self) -> bool {
-        self.agreement.as_ref().is_some_and(Agree::started)
+        self.consensus.as_ref().is_some_and(Consensus::started)
     }
 
     /// Ticks the consensus when a tick is due. After a pause, messages that arrived meanwhile have not been
     /// handled yet.
     fn tick(&mut self, now_us: u64, tick_us: u64) {
-        let Some(agreement) = &mut self.agreement else { return };
+        let Some(consensus) = &mut self.consensus else { return };
         if now_us < self.next_tick_us {
             return;
         }
-        agreement.tick();
-        let paused = now_us > self.next_tick_us + MOST_LATE_TICKS * tick_us;
+        consensus.tick();
+        let paused = now_us > self.next_tick_us + MAX_CATCH_UP_TICKS * tick_us;
         self.next_tick_us = tick_us + if paused { now_us } else { self.next_tick_us };
     }
 }
@@ -51,24 +51,24 @@
         if !self.plan.voters.contains(&self.process.name) || self.kept.seat == 0 {
             return;
         }
-        let started = self.kept.log.before() > 0;
+        let started = self.kept.log.snapshot_index() > 0;
         let seat = Seat { id: self.kept.seat, roster: self.kept.roster.clone(), started };
-        let founding = Founding::new(seat, self.process.name.clone(), self.plan.voters.clone());
-        self.voter = Some(Voter::new(now_us, founding));
+        let log_creation = LogCreation::new(seat, self.process.name.clone(), self.plan.voters.clone());
+        self.voter = Some(Voter::new(now_us, log_creation));
         let hello = self.hello();
         self.outputs.push_back(Output::Hello(hello));
         if started {
-            self.start_agreement(now_us);
+            self.start_consensus(now_us);
         }
     }
 
-    fn start_agreement(&mut self, now_us: u64) {
+    fn start_consensus(&mut self, now_us: u64) {
         let seed = self.seed ^ self.process.incarnation ^ now_us;
-        match Agree::new(&self.kept, self.process.incarnation, &self.plan.times, seed) {
-            Ok(agreement) => {
+        match Consensus::new(&self.kept, self.process.incarnation, &self.plan.times, seed) {
+            Ok(consensus) => {
                 if let Some(voter) = &mut self.voter {
-                    voter.agreement = Some(agreement);
-                    voter.founding.own.started = self.kept.log.before() > 0;
+                    voter.consensus = Some(consensus);
+                    voter.log_creation.own.started = self.kept.log.snapshot_index() > 0;
                     voter.next_tick_us = now_us;
                 }
             }
@@ -76,19 +76,19 @@
         }
     }
 
-    pub(super) fn agreement(&self) -> Option<&Agree> {
-        self.voter.as_ref()?.agreement.as_ref()
+    pub(super) fn consensus(&self) -> Option<&Consensus> {
+        self.voter.as_ref()?.consensus.as_ref()
     }
 
-    pub(super) fn agreement_mut(&mut self) -> Option<&mut Agree> {
-        self.voter.as_mut()?.agreement.as_mut()
+    pub(super) fn consensus_mut(&mut self) -> Option<&mut Consensus> {
+        self.voter.as_mut()?.consensus.as_mut()
     }
 
     fn other_voters(&self) -> impl Iterator<Item = &String> {
         self.plan.voters.iter().filter(|name| **name != self.process.name)
     }
 
-    pub(super) fn send_to_voters(&mut self, message: &Word) {
+    pub(super) fn send_to_voters(&mut self, message: &Message) {
         let voters: Vec<String> = self.other_voters().cloned().collect();
         for name in voters {
             self.send(Link::Voter(name), message.clone());
@@ -101,8 +101,8 @@
         voter.tick(now_us, tick_us);
         if !voter.started() && now_us >= voter.next_seat_us {
             voter.next_seat_us = now_us + SEAT_INTERVAL_US;
-            let seat = voter.founding.own.clone();
-            self.send_to_voters(&Word::Seat(seat));
+            let seat = voter.log_creation.own.clone();
+            self.send_to_voters(&Message::Seat(seat));
         }
     }
 
@@ -114,40 +114,40 @@
         }
         let Some(voter) = &mut self.voter else { return };
         if !voter.started() {
-            voter.founding.hear(&sender.name, seat);
+            voter.log_creation.record(&sender.name, seat);
             return;
         }
-        voter.founding.own.started = true;
-        let own = voter.founding.own.clone();
-        if let Some(agreement) = &mut voter.agreement {
-            agreement.replace(&sender.name, seat.id);
+        voter.log_creation.own.started = true;
+        let own = voter.log_creation.own.clone();
+        if let Some(consensus) = &mut voter.consensus {
+            consensus.replace_voter(&sender.name, seat.id);
         }
         if !seat.started {
-            self.send(Link::Voter(sender.name.clone()), Word::Seat(own));
+            self.send(Link::Voter(sender.name.clone()), Message::Seat(own));
         }
     }
 
     /// A Raft message from another voter.
-    pub(super) fn receive_agreement(&mut self, sender: &Sender, message: &[u8]) {
+    pub(super) fn receive_consensus(&mut self, sender: &Sender, message: &[u8]) {
         if !self.plan.voters.contains(&sender.name) {
             return;
         }
-        if let Some(agreement) = self.agreement_mut() {
-            agreement.step(&sender.name, message);
+        if let Some(consensus) = self.consensus_mut() {
+            consensus.step(&sender.name, message);
         }
     }
 
     /// Takes the next step of log creation, if the log does not exist yet.
-    pub(super) fn advance_founding(&mut self, now_us: u64, disk: &mut dyn Disk) -> Result<(), String> {
-        let Some(voter) = self.voter.as_ref().filter(|voter| voter.agreement.is_none()) else {
+    pub(super) fn advance_log_creation(&mut self, now_us: u64, disk: &mut dyn Disk) -> Result<(), String> {
+        let Some(voter) = self.voter.as_ref().filter(|voter| voter.consensus.is_none()) else {
             return Ok(());
         };
-        match voter.founding.next() {
-            Next::Wait => Ok(()),
-            Next::Seal(roster) => self.seal_roster(now_us, roster, disk),
-            Next::Start(roster) => self.found_log(now_us, &roster, disk),
-            Next::Listen => {
-                self.start_agreement(now_us);
+        match voter.log_creation.next() {
+            CreationStep::Wait => Ok(()),
+            CreationStep::CommitRoster(roster) => self.commit_roster(now_us, roster, disk),
+            CreationStep::Start(roster) => self.create_log(now_us, &roster, disk),
+            CreationStep::Listen => {
+                self.start_consensus(now_us);
                 self.event(Event::AwaitingAdmission);
                 Ok(())
             }
@@ -155,21 +155,21 @@
     }
 
     /// Commits this voter to a roster, on disk before it is announced.
-    fn seal_roster(&mut self, now_us: u64, roster: Roster, disk: &mut dyn Disk) -> Result<(), String> {
+    fn commit_roster(&mut self, now_us: u64, roster: Roster, disk: &mut dyn Disk) -> Result<(), String> {
         self.write(disk, &Batch { roster: Some(roster.clone()), ..Batch::default() })?;
         if let Some(voter) = &mut self.voter {
-            voter.founding.own.roster = Some(roster);
+            voter.log_creation.own.roster = Some(roster);
             voter.next_seat_us = now_us;
         }
         Ok(())
     }
 
-    fn found_log(&mut self, now_us: u64, roster: &Roster, disk: &mut dyn Disk) -> Result<(), String> {
-        self.write(disk, &founding(roster))?;
-        self.start_agreement(now_us);
+    fn create_log(&mut self, now_us: u64, roster: &Roster, disk: &mut dyn Disk) -> Result<(), String> {
+        self.write(disk, &initial_batch(roster))?;
+        self.start_consensus(now_us);
         // The others must learn of it, even if they committed to the roster first.
-        if let Some(seat) = self.voter.as_ref().map(|voter| voter.founding.own.clone()) {
-            self.send_to_voters(&Word::Seat(seat));
+        if let Some(seat) = self.voter.as_ref().map(|voter| voter.log_creation.own.clone()) {
+            self.send_to_voters(&Message::Seat(seat));
         }
         self.event(Event::LogFounded { voters: roster.len() });
         Ok(())
@@ -177,7 +177,7 @@
 
     fn write(&mut self, disk: &mut dyn Disk, batch: &Batch) -> Result<(), String> {
         disk.write(batch)?;
-        self.kept.absorb(batch);
+        self.kept.apply(batch);
         Ok(())
     }
 }
--- a/crates/fleet/src/sight.rs
+++ b/crates/fleet/src/observation.rs
@@ -7,48 +7,48 @@
 use serde::{Deserialize, Serialize};
 
 /// Steps per doubling: a reported value is within a tenth of the measured one.
-const STEPS: f32 = 4.0;
+const STEPS_PER_DOUBLING: f32 = 4.0;
 /// The smallest value that is distinguished from zero.
-const LEAST: f32 = 1.0 / 64.0;
+const MIN_VALUE: f32 = 1.0 / 64.0;
 /// How long an objection stands unless it is repeated.
-const STANDS_US: u64 = 10_000_000;
+const OBJECTION_TTL_US: u64 = 10_000_000;
 /// Share of the remaining capacity that may be in use, as seen by one proxy, before it objects.
-const STRAINED: f32 = 0.8;
+const MAX_UTILIZATION: f32 = 0.8;
 /// Maximum number of backends in one view.
-pub const MOST_SEEN: usize = 512;
+pub const MAX_VIEW_BACKENDS: usize = 512;
 /// Maximum number of names and objections in one report.
-const MOST_NAMED: usize = 16;
+const MAX_NAMED: usize = 16;
 
 /// A non-negative value, quantized on a logarithmic scale in steps of a quarter of a doubling.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Coarse(u8);
+pub struct Quantized(u8);
 
-impl Coarse {
+impl Quantized {
     pub fn of(value: f64) -> Self {
         let value = value as f32;
-        if value.is_nan() || value < LEAST {
-            return Coarse(0);
+        if value.is_nan() || value < MIN_VALUE {
+            return Quantized(0);
         }
-        Coarse((1.0 + (value / LEAST).log2() * STEPS).round().clamp(1.0, 255.0) as u8)
+        Quantized((1.0 + (value / MIN_VALUE).log2() * STEPS_PER_DOUBLING).round().clamp(1.0, 255.0) as u8)
     }
 
     pub fn value(self) -> f64 {
         match self.0 {
             0 => 0.0,
-            step => f64::from(LEAST * ((f32::from(step) - 1.0) / STEPS).exp2()),
+            step => f64::from(MIN_VALUE * ((f32::from(step) - 1.0) / STEPS_PER_DOUBLING).exp2()),
         }
     }
 }
 
 /// One backend as observed by one proxy, in the load units of the balancer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sees {
+pub struct BackendView {
     pub zone: String,
     pub cell: u32,
     /// The proxy's own units in flight, averaged over time.
-    pub load: Coarse,
+    pub load: Quantized,
     /// The learned maximum.
-    pub max: Coarse,
+    pub max: Quantized,
     /// Whether recent queries to it have only failed.
     pub lost: bool,
 }
@@ -56,16 +56,16 @@
 /// All observations of one proxy.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    pub backends: BTreeMap<String, Sees>,
+    pub backends: BTreeMap<String, BackendView>,
     /// Queries per second, and those of them that were rejected or given up.
-    pub queries: Coarse,
-    pub rejected: Coarse,
+    pub queries: Quantized,
+    pub rejected: Quantized,
 }
 
 impl View {
     /// Limits the view to `MAX_VIEW_BACKENDS` backends, however many are configured.
-    pub fn cut(mut self) -> Self {
-        while self.backends.len() > MOST_SEEN {
+    pub fn truncated(mut self) -> Self {
+        while self.backends.len() > MAX_VIEW_BACKENDS {
             self.backends.pop_last();
         }
         self
@@ -83,7 +83,7 @@
 
 /// A proxy's report on maintenance, sent with each renewal.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct ProxyReport {
     /// The revision of the plans that the objections refer to.
     pub revision: u64,
     pub objections: Vec<Objection>,
@@ -97,32 +97,32 @@
 
 /// The objections to taking out these machines, from one proxy's own view.
 pub fn objections(view: &View, next: &[String]) -> Vec<Objection> {
-    let there = |without: &str| {
-        let left = view.backends.iter().filter(|(id, one)| !one.lost && id.as_str() != without);
-        left.map(|(_, one)| one).collect::<Vec<_>>()
+    let reachable_without = |without: &str| {
+        let left = view.backends.iter().filter(|(id, backend)| !backend.lost && id.as_str() != without);
+        left.map(|(_, backend)| backend).collect::<Vec<_>>()
     };
-    let object = |machine: &String| {
-        let one = view.backends.get(machine)?;
-        let left = there(machine);
+    let objection_to = |machine: &String| {
+        let backend = view.backends.get(machine)?;
+        let left = reachable_without(machine);
         let (load, max) = (left.iter(), left.iter());
-        let load: f64 = load.map(|one| one.load.value()).sum::<f64>() + one.load.value();
-        let max: f64 = max.map(|one| one.max.value()).sum();
+        let load: f64 = load.map(|backend| backend.load.value()).sum::<f64>() + backend.load.value();
+        let max: f64 = max.map(|backend| backend.max.value()).sum();
         let queries = view.queries.value();
         let why = if left.is_empty() && queries > 0.0 {
             "the only backend in reach".to_owned()
-        } else if load > f64::from(STRAINED) * max && load > 1.0 {
+        } else if load > f64::from(MAX_UTILIZATION) * max && load > 1.0 {
             format!("{load:.1} units on {max:.1} that would be left")
         } else {
             return None;
         };
-        Some(Objection { machine: machine.clone(), why, for_us: STANDS_US })
+        Some(Objection { machine: machine.clone(), why, for_us: OBJECTION_TTL_US })
     };
-    next.iter().filter_map(object).take(MOST_NAMED).collect()
+    next.iter().filter_map(objection_to).take(MAX_NAMED).collect()
 }
 
 /// One backend, aggregated over all proxies that report it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Summed {
+pub struct BackendSummary {
     pub zone: String,
     pub cell: u32,
     /// Units in flight, of all proxies.
@@ -134,16 +134,16 @@
     pub lost_by: u32,
 }
 
-impl Summed {
-    pub fn lost(&self) -> bool {
+impl BackendSummary {
+    pub fn is_lost(&self) -> bool {
         self.by > 0 && 2 * self.lost_by > self.by
     }
 }
 
 /// The aggregate of all proxies' reports.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Sight {
-    pub backends: BTreeMap<String, Summed>,
+pub struct FleetView {
+    pub backends: BTreeMap<String, BackendSummary>,
     /// Proxies with a session, those of them in contact, and those that have reported a view.
     pub proxies: u32,
     pub in_touch: u32,
@@ -165,7 +165,7 @@
 }
 
 /// The latest report of one proxy, as the leader has it.
-pub struct Words<'a> {
+pub struct LatestReport<'a> {
     pub name: &'a str,
     pub view: Option<&'a View>,
     pub objections: &'a [Objection],
@@ -175,58 +175,58 @@
     pub in_touch: bool,
 }
 
-fn middle(values: &mut [f64]) -> f64 {
+fn median(values: &mut [f64]) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied().unwrap_or(0.0)
 }
 
 /// Aggregates all proxies' reports. The result does not depend on their order.
-pub fn summed<'a>(words: impl Iterator<Item = Words<'a>>) -> Sight {
-    let mut sight = Sight { considered: u64::MAX, ..Sight::default() };
+pub fn aggregate<'a>(reports: impl Iterator<Item = LatestReport<'a>>) -> FleetView {
+    let mut fleet_view = FleetView { considered: u64::MAX, ..FleetView::default() };
     let mut maxima: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
-    for one in words {
-        sight.proxies += 1;
-        if !one.in_touch {
-            if sight.silent.len() < MOST_NAMED {
-                sight.silent.push(one.name.to_owned());
+    for report in reports {
+        fleet_view.proxies += 1;
+        if !report.in_touch {
+            if fleet_view.silent.len() < MAX_NAMED {
+                fleet_view.silent.push(report.name.to_owned());
             }
             continue;
         }
-        sight.in_touch += 1;
-        sight.considered = sight.considered.min(one.revision);
-        for objection in one.objections.iter().filter(|objection| one.age_us < objection.for_us) {
-            if sight.objections.len() < MOST_NAMED {
+        fleet_view.in_touch += 1;
+        fleet_view.considered = fleet_view.considered.min(report.revision);
+        for objection in report.objections.iter().filter(|objection| report.age_us < objection.for_us) {
+            if fleet_view.objections.len() < MAX_NAMED {
                 let (machine, why) = (objection.machine.clone(), objection.why.clone());
-                sight.objections.push((one.name.to_owned(), machine, why));
+                fleet_view.objections.push((report.name.to_owned(), machine, why));
             }
         }
-        let Some(view) = one.view else { continue };
-        sight.told += 1;
-        sight.queries += view.queries.value();
-        sight.rejected += view.rejected.value();
-        for (id, sees) in &view.backends {
-            let summed = sight.backends.entry(id.clone()).or_insert_with(|| Summed {
-                zone: sees.zone.clone(),
-                cell: sees.cell,
-                ..Summed::default()
+        let Some(view) = report.view else { continue };
+        fleet_view.told += 1;
+        fleet_view.queries += view.queries.value();
+        fleet_view.rejected += view.rejected.value();
+        for (id, observed) in &view.backends {
+            let summary = fleet_view.backends.entry(id.clone()).or_insert_with(|| BackendSummary {
+                zone: observed.zone.clone(),
+                cell: observed.cell,
+                ..BackendSummary::default()
             });
-            summed.load += sees.load.value();
-            summed.by += 1;
-            summed.lost_by += u32::from(sees.lost);
-            if !sees.lost {
-                maxima.entry(id).or_default().push(sees.max.value());
+            summary.load += observed.load.value();
+            summary.by += 1;
+            summary.lost_by += u32::from(observed.lost);
+            if !observed.lost {
+                maxima.entry(id).or_default().push(observed.max.value());
             }
         }
     }
     // Proxies that have not reported a view are counted at the mean of those that have.
-    let scale = f64::from(sight.in_touch) / f64::from(sight.told.max(1));
-    for (id, summed) in &mut sight.backends {
-        summed.max = maxima.get_mut(id.as_str()).map_or(0.0, |all| middle(all));
-        summed.load *= scale;
+    let scale = f64::from(fleet_view.in_touch) / f64::from(fleet_view.told.max(1));
+    for (id, summary) in &mut fleet_view.backends {
+        summary.max = maxima.get_mut(id.as_str()).map_or(0.0, |all| median(all));
+        summary.load *= scale;
     }
-    sight
+    fleet_view
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/sight.rs"]
+#[path = "../tests/unit/observation.rs"]
 mod tests;
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -5,31 +5,31 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::words::{Roster, Who, WORK};
-use crate::work::{Absent, Order, Stage, Step, Terms, Work};
+use crate::messages::{ProcessId, Roster, WORK};
+use crate::work::{DepartedProxy, Order, SendPolicy, Stage, Step, Work};
 
 /// Outcomes remembered, so that a repeated command is applied only once.
-const MOST_DONE: usize = 4_096;
+const MAX_REMEMBERED_OUTCOMES: usize = 4_096;
 /// Maximum number of backends out of service at a time. Bounds the state and each publication.
-pub const MOST_OUTS: usize = 10_000;
+pub const MAX_OUTS: usize = 10_000;
 /// Maximum number of departed proxies remembered.
-const MOST_ABSENT: usize = 4_096;
+const MAX_DEPARTED: usize = 4_096;
 /// Maximum length of a backend id, in bytes.
-pub const MOST_ID: usize = 200;
+pub const MAX_ID_BYTES: usize = 200;
 
 /// A command in the replicated log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
     /// Sessions that have begun, with their send policies.
-    Join(Vec<(Who, Terms)>),
+    Join(Vec<(ProcessId, SendPolicy)>),
     /// Sessions that have ended, and whether the process announced its exit.
-    Leave(Vec<(Who, bool)>),
+    Leave(Vec<(ProcessId, bool)>),
     /// Valid only if `token` directly follows the last one granted, so that two grants never both take
     /// effect.
     Grant {
         duty: String,
         token: u64,
-        to: Who,
+        to: ProcessId,
     },
     Release {
         duty: String,
@@ -72,47 +72,47 @@
 /// Identifies a call. The kind is part of the key: the same number on another kind of call is another call,
 /// and must not get this one's outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-enum Call {
+enum CallId {
     Outs(u128),
     Work(u128),
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Duty {
-    pub owner: Option<Who>,
+    pub owner: Option<ProcessId>,
     /// The last token granted. Tokens only increase.
     pub token: u64,
 }
 
 /// The process that holds a proxy's session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Current {
+pub struct CurrentSession {
     pub incarnation: u64,
-    pub terms: Terms,
+    pub terms: SendPolicy,
 }
 
 /// The replicated state of the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Fleet {
     pub seats: Roster,
-    pub sessions: BTreeMap<String, Current>,
+    pub sessions: BTreeMap<String, CurrentSession>,
     /// Proxies that have left and might still send. Maintenance on a machine has to take them into account.
-    pub absent: BTreeMap<String, Absent>,
+    pub absent: BTreeMap<String, DepartedProxy>,
     pub duties: BTreeMap<String, Duty>,
     /// Backends taken out by operators. `published` adds those that are out for maintenance.
     pub outs: BTreeSet<String>,
     pub work: Work,
     pub version: u64,
-    done: VecDeque<(Call, Outcome)>,
+    done: VecDeque<(CallId, Outcome)>,
 }
 
 impl Fleet {
-    pub fn founded(seats: Roster) -> Self {
+    pub fn with_voters(seats: Roster) -> Self {
         Fleet { seats, ..Fleet::default() }
     }
 
     /// Whether this process holds its proxy's session.
-    pub fn is_current(&self, who: &Who) -> bool {
+    pub fn is_current(&self, who: &ProcessId) -> bool {
         self.sessions.get(&who.name).is_some_and(|current| current.incarnation == who.incarnation)
     }
 
@@ -121,25 +121,25 @@
         &self.outs | &self.work.outs()
     }
 
-    fn token(&self, duty: &str) -> u64 {
+    fn last_token(&self, duty: &str) -> u64 {
         self.duties.get(duty).map_or(0, |duty| duty.token)
     }
 
     /// Applies a call once. A repeated call gets the remembered outcome.
-    fn once(&mut self, call: Call, done: impl FnOnce(&mut Self) -> Outcome) -> Outcome {
+    fn apply_once(&mut self, call: CallId, done: impl FnOnce(&mut Self) -> Outcome) -> Outcome {
         if let Some((_, before)) = self.done.iter().find(|(done, _)| *done == call) {
             return before.clone();
         }
         let outcome = done(self);
         self.done.push_back((call, outcome.clone()));
-        if self.done.len() > MOST_DONE {
+        if self.done.len() > MAX_REMEMBERED_OUTCOMES {
             self.done.pop_front();
         }
         outcome
     }
 
     /// Increments the version if the published set has changed.
-    fn renumber(&mut self, before: &BTreeSet<String>) -> Outcome {
+    fn update_version(&mut self, before: &BTreeSet<String>) -> Outcome {
         if self.published() != *before {
             self.version += 1;
         }
@@ -154,7 +154,7 @@
                     // Of two processes of the same proxy, the newer one holds the session.
                     let current = self.sessions.entry(who.name.clone()).or_default();
                     if who.incarnation >= current.incarnation {
-                        *current = Current { incarnation: who.incarnation, terms };
+                        *current = CurrentSession { incarnation: who.incarnation, terms };
                         self.absent.remove(&who.name);
                     }
                 }
@@ -166,11 +166,13 @@
                     if !self.is_current(&who) {
                         continue;
                     }
-                    let Some(Current { terms, .. }) = self.sessions.remove(&who.name) else { continue };
+                    let Some(CurrentSession { terms, .. }) = self.sessions.remove(&who.name) else {
+                        continue;
+                    };
                     // A process that announced its exit, and that must hear the fleet before it serves again,
                     // cannot send.
-                    if !(parted && terms.waits) && self.absent.len() < MOST_ABSENT {
-                        self.absent.insert(who.name.clone(), Absent { who, terms, parted });
+                    if !(parted && terms.waits) && self.absent.len() < MAX_DEPARTED {
+                        self.absent.insert(who.name.clone(), DepartedProxy { who, terms, parted });
                     }
                 }
                 Outcome::Nothing
@@ -179,7 +181,7 @@
                 let current = self.is_current(&to);
                 let duty = self.duties.entry(duty).or_default();
                 if token != duty.token + 1 || !current {
-                    return Outcome::Refused(format!("token {token} after {}", duty.token));
+                    return Outcome::Refused(format!("token {token} does not follow {}", duty.token));
                 }
                 (duty.token, duty.owner) = (token, Some(to));
                 Outcome::Granted
@@ -191,15 +193,19 @@
                 }
                 Outcome::Nothing
             }
-            Command::Outs { id, out, ids } => self.once(Call::Outs(id), |fleet| fleet.outs(out, ids)),
-            Command::Work { id, order } => self.once(Call::Work(id), |fleet| fleet.order(&order)),
+            Command::Outs { id, out, ids } => {
+                self.apply_once(CallId::Outs(id), |fleet| fleet.set_outs(out, ids))
+            }
+            Command::Work { id, order } => {
+                self.apply_once(CallId::Work(id), |fleet| fleet.apply_order(&order))
+            }
             Command::Steps(steps) => {
-                let stepped = steps.iter().map(|step| self.step(step).err());
+                let stepped = steps.iter().map(|step| self.apply_step(step).err());
                 Outcome::Stepped(stepped.collect())
             }
             Command::Waits { token, plan, why } => {
-                let last = self.token(WORK);
-                match self.work.waits(token, last, &plan, &why) {
+                let last = self.last_token(WORK);
+                match self.work.set_waits(token, last, &plan, &why) {
                     Ok(()) => Outcome::Nothing,
                     Err(why) => Outcome::Refused(why),
                 }
@@ -207,32 +213,32 @@
         }
     }
 
-    fn order(&mut self, order: &Order) -> Outcome {
+    fn apply_order(&mut self, order: &Order) -> Outcome {
         let before = self.published();
         if let Order::Forget { name } = order {
             if self.absent.remove(name).is_none() {
-                return Outcome::Refused(format!("{name:?} is not among those that left"));
+                return Outcome::Refused(format!("{name:?} is not among the departed proxies"));
             }
         }
-        match self.work.order(order) {
-            Ok(()) => self.renumber(&before),
+        match self.work.apply_order(order) {
+            Ok(()) => self.update_version(&before),
             Err(why) => Outcome::Refused(why),
         }
     }
 
-    fn step(&mut self, step: &Step) -> Result<(), String> {
-        let (before, token) = (self.published(), self.token(WORK));
-        self.work.step(step, token, self.seats.len())?;
-        self.renumber(&before);
+    fn apply_step(&mut self, step: &Step) -> Result<(), String> {
+        let (before, token) = (self.published(), self.last_token(WORK));
+        self.work.apply_step(step, token, self.seats.len())?;
+        self.update_version(&before);
         if matches!(step.to, Stage::Leaving | Stage::Back) {
-            self.work.leaves(&step.plan, &step.machine, self.version);
+            self.work.set_version(&step.plan, &step.machine, self.version);
         }
         Ok(())
     }
 
-    fn outs(&mut self, out: bool, ids: Vec<String>) -> Outcome {
-        if out && self.outs.len() + ids.len() > MOST_OUTS {
-            return Outcome::Refused(format!("more than {MOST_OUTS} would be out"));
+    fn set_outs(&mut self, out: bool, ids: Vec<String>) -> Outcome {
+        if out && self.outs.len() + ids.len() > MAX_OUTS {
+            return Outcome::Refused(format!("more than {MAX_OUTS} backends would be out"));
         }
         let before = self.published();
         for id in ids {
@@ -241,6 +247,6 @@
                 false => self.outs.remove(&id),
             };
         }
-        self.renumber(&before)
+        self.update_version(&before)
     }
 }
--- a/crates/fleet/src/kept.rs
+++ b/crates/fleet/src/storage.rs
@@ -5,7 +5,7 @@
 use raft::eraftpb::{Entry, HardState, Snapshot};
 use raft::{GetEntriesContext, RaftState, Storage, StorageError};
 
-use crate::words::{Publication, Roster};
+use crate::messages::{Publication, Roster};
 
 /// Written atomically, and durable before the write returns.
 #[derive(Default, Clone, Debug)]
@@ -33,7 +33,7 @@
 
 /// Everything on the disk, as read at start.
 #[derive(Default, Clone, Debug)]
-pub struct Kept {
+pub struct PersistentState {
     /// The id that this disk was given when it was new. A voter with this id never returns with less than it
     /// has promised, because a new disk gets a new id.
     pub seat: u64,
@@ -42,13 +42,13 @@
     pub taken: Option<Publication>,
 }
 
-impl Kept {
+impl PersistentState {
     pub fn new(seat: u64) -> Self {
-        Kept { seat, ..Kept::default() }
+        PersistentState { seat, ..PersistentState::default() }
     }
 
-    pub fn absorb(&mut self, batch: &Batch) {
-        self.log.absorb(batch);
+    pub fn apply(&mut self, batch: &Batch) {
+        self.log.apply(batch);
         if batch.roster.is_some() {
             self.roster.clone_from(&batch.roster);
         }
@@ -68,7 +68,7 @@
 }
 
 impl Log {
-    pub fn absorb(&mut self, batch: &Batch) {
+    pub fn apply(&mut self, batch: &Batch) {
         if let Some(snapshot) = &batch.snapshot {
             let index = snapshot.get_metadata().index;
             self.snapshot = snapshot.clone();
@@ -81,17 +81,17 @@
         }
         if let Some(hard) = &batch.hard {
             self.hard = hard.clone();
-            self.hard.commit = self.hard.commit.max(self.before());
+            self.hard.commit = self.hard.commit.max(self.snapshot_index());
         }
     }
 
     /// The index of the snapshot; 0 before the log has been created.
-    pub fn before(&self) -> u64 {
+    pub fn snapshot_index(&self) -> u64 {
         self.snapshot.get_metadata().index
     }
 
-    fn last(&self) -> u64 {
-        self.entries.last().map_or(self.before(), |entry| entry.index)
+    fn last_entry_index(&self) -> u64 {
+        self.entries.last().map_or(self.snapshot_index(), |entry| entry.index)
     }
 }
 
@@ -108,11 +108,11 @@
         max_size: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> raft::Result<Vec<Entry>> {
-        if low <= self.before() {
+        if low <= self.snapshot_index() {
             return Err(StorageError::Compacted.into());
         }
-        let from = (low - self.before() - 1) as usize;
-        let until = (high - self.before() - 1) as usize;
+        let from = (low - self.snapshot_index() - 1) as usize;
+        let until = (high - self.snapshot_index() - 1) as usize;
         let Some(part) = self.entries.get(from..until) else { return Err(StorageError::Unavailable.into()) };
         let mut part = part.to_vec();
         raft::util::limit_size(&mut part, max_size.into());
@@ -120,26 +120,26 @@
     }
 
     fn term(&self, index: u64) -> raft::Result<u64> {
-        if index == self.before() {
+        if index == self.snapshot_index() {
             return Ok(self.snapshot.get_metadata().term);
         }
-        if index < self.before() {
+        if index < self.snapshot_index() {
             return Err(StorageError::Compacted.into());
         }
-        let entry = self.entries.get((index - self.before() - 1) as usize);
+        let entry = self.entries.get((index - self.snapshot_index() - 1) as usize);
         entry.map(|entry| entry.term).ok_or_else(|| StorageError::Unavailable.into())
     }
 
     fn first_index(&self) -> raft::Result<u64> {
-        Ok(self.before() + 1)
+        Ok(self.snapshot_index() + 1)
     }
 
     fn last_index(&self) -> raft::Result<u64> {
-        Ok(self.last())
+        Ok(self.last_entry_index())
     }
 
     fn snapshot(&self, request_index: u64, _to: u64) -> raft::Result<Snapshot> {
-        match self.before() >= request_index {
+        match self.snapshot_index() >= request_index {
             true => Ok(self.snapshot.clone()),
             false => Err(StorageError::SnapshotTemporarilyUnavailable.into()),
         }
--- a/crates/fleet/src/work.rs
+++ b/crates/fleet/src/work.rs
@@ -6,14 +6,14 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::words::Who;
+use crate::messages::ProcessId;
 
 /// Plans remembered, including those that are over.
-const MOST_PLANS: usize = 32;
+const MAX_PLANS: usize = 32;
 /// Maximum number of machines in one plan.
-pub const MOST_MACHINES: usize = 2_000;
+pub const MAX_MACHINES: usize = 2_000;
 /// Maximum length of a name, a reason or an address, in bytes.
-const MOST_TEXT: usize = 300;
+const MAX_TEXT_BYTES: usize = 300;
 
 /// The stage of a machine in a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -58,20 +58,20 @@
     }
 
     /// Whether it can be called back, because no work has begun.
-    pub fn may_return(self) -> bool {
+    pub fn can_return(self) -> bool {
         matches!(self, Stage::Agreed | Stage::Leaving | Stage::Out)
     }
 
     /// Transitions open to the owner of the work duty. All others are reserved to operators, or not allowed.
-    fn may_become(self, to: Stage) -> bool {
+    fn can_become(self, to: Stage) -> bool {
         use Stage::{
             Agreed, Back, Beginning, Cancelled, Done, Leaving, Mended, Out, Proposed, Warm, Working,
         };
         match (self, to) {
             (Proposed, Agreed) | (Agreed, Leaving) | (Leaving, Out) | (Out, Beginning) => true,
             (Beginning, Working) | (Mended, Back) | (Back, Warm) | (Warm, Done) => true,
-            (_, Proposed) => self.may_return(),
-            (_, Cancelled) => self == Proposed || self.may_return(),
+            (_, Proposed) => self.can_return(),
+            (_, Cancelled) => self == Proposed || self.can_return(),
             _ => false,
         }
     }
@@ -97,7 +97,7 @@
 /// The kind of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Is {
+pub enum MachineKind {
     Backend,
     Proxy,
 }
@@ -105,7 +105,7 @@
 /// A machine of a plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Machine {
-    pub is: Is,
+    pub is: MachineKind,
     pub zone: String,
     pub cell: u32,
     /// A proxy that is a voter.
@@ -124,7 +124,7 @@
 }
 
 impl Machine {
-    pub fn new(is: Is, zone: &str, cell: u32, votes: bool) -> Self {
+    pub fn new(is: MachineKind, zone: &str, cell: u32, votes: bool) -> Self {
         Machine {
             is,
             zone: zone.to_owned(),
@@ -262,7 +262,7 @@
 
 /// Machines of all plans that are out or about to be: in total, by zone and by cell.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Count {
+pub struct MachineCounts {
     pub all: u32,
     pub zones: BTreeMap<String, u32>,
     pub cells: BTreeMap<(String, u32), u32>,
@@ -273,54 +273,60 @@
 impl Work {
     /// Backends that are out of service for maintenance.
     pub fn outs(&self) -> BTreeSet<String> {
-        let of = |plan: &Plan| {
-            let out = plan.machines.iter().filter(|(_, one)| one.is == Is::Backend && one.stage.is_out());
+        let names = |plan: &Plan| {
+            let out = plan
+                .machines
+                .iter()
+                .filter(|(_, machine)| machine.is == MachineKind::Backend && machine.stage.is_out());
             out.map(|(name, _)| name.clone()).collect::<Vec<_>>()
         };
-        self.plans.values().flat_map(of).collect()
+        self.plans.values().flat_map(names).collect()
     }
 
     /// Whether this proxy is to be drained.
-    pub fn drained(&self, name: &str) -> bool {
-        let of = |plan: &Plan| {
-            plan.machines.get(name).is_some_and(|one| one.is == Is::Proxy && one.stage.is_out())
+    pub fn is_drained(&self, name: &str) -> bool {
+        let drains = |plan: &Plan| {
+            plan.machines
+                .get(name)
+                .is_some_and(|machine| machine.is == MachineKind::Proxy && machine.stage.is_out())
         };
-        self.plans.values().any(of)
+        self.plans.values().any(drains)
     }
 
     /// Backends that are scheduled to leave next.
-    pub fn agreed(&self) -> Vec<String> {
-        let of = |plan: &Plan| {
+    pub fn next_backends(&self) -> Vec<String> {
+        let names = |plan: &Plan| {
             let next = plan.machines.iter();
-            let next = next.filter(|(_, one)| one.stage == Stage::Agreed && one.is == Is::Backend);
+            let next = next
+                .filter(|(_, machine)| machine.stage == Stage::Agreed && machine.is == MachineKind::Backend);
             next.map(|(name, _)| name.clone()).collect::<Vec<_>>()
         };
-        self.plans.values().flat_map(of).collect()
+        self.plans.values().flat_map(names).collect()
     }
 
-    pub fn open(&self) -> impl Iterator<Item = (&String, &Plan)> {
+    pub fn open_plans(&self) -> impl Iterator<Item = (&String, &Plan)> {
         self.plans.iter().filter(|(_, plan)| !plan.is_over())
     }
 
-    pub fn count(&self) -> Count {
-        let mut count = Count::default();
-        for one in self.plans.values().flat_map(|plan| plan.machines.values()) {
-            if one.stage.counts() {
+    pub fn count(&self) -> MachineCounts {
+        let mut count = MachineCounts::default();
+        for machine in self.plans.values().flat_map(|plan| plan.machines.values()) {
+            if machine.stage.counts() {
                 count.all += 1;
-                *count.zones.entry(one.zone.clone()).or_default() += 1;
-                *count.cells.entry((one.zone.clone(), one.cell)).or_default() += 1;
-                count.voters += u32::from(one.votes);
+                *count.zones.entry(machine.zone.clone()).or_default() += 1;
+                *count.cells.entry((machine.zone.clone(), machine.cell)).or_default() += 1;
+                count.voters += u32::from(machine.votes);
             }
-            count.cold += u32::from(one.stage == Stage::Back);
+            count.cold += u32::from(machine.stage == Stage::Back);
         }
         count
     }
 
     /// Why this machine may not be taken out under the bounds on machines out, if so. Machines of all plans
     /// count, and the tightest bound of any open plan with a machine out applies.
-    pub fn over(&self, plan: &Plan, machine: &Machine, voters: usize) -> Option<String> {
+    pub fn bound_violation(&self, plan: &Plan, machine: &Machine, voters: usize) -> Option<String> {
         let count = self.count();
-        let others = self.open().map(|(_, other)| other);
+        let others = self.open_plans().map(|(_, other)| other);
         let others = others.filter(|other| other.machines.values().any(|one| one.stage.counts()));
         for bounds in others.map(|other| &other.bounds).chain([&plan.bounds]) {
             if count.all + 1 > bounds.most_out {
@@ -337,30 +343,30 @@
                 return Some(format!("{cell} out of {most} that may be in cell {} of {zone}", machine.cell));
             }
         }
-        let bears = voters.saturating_sub(1) as u32 / 2;
-        if machine.votes && count.voters + 1 > bears {
-            return Some(format!("{} voters out, {voters} bear the loss of {bears}", count.voters));
+        let tolerable = voters.saturating_sub(1) as u32 / 2;
+        if machine.votes && count.voters + 1 > tolerable {
+            return Some(format!("{} voters out, {voters} bear the loss of {tolerable}", count.voters));
         }
         None
     }
 
-    fn find(&self, machine: &str) -> Option<(&String, &Machine)> {
-        let open = self.open().filter_map(|(name, plan)| Some((name, plan.machines.get(machine)?)));
+    fn find_machine(&self, machine: &str) -> Option<(&String, &Machine)> {
+        let open = self.open_plans().filter_map(|(name, plan)| Some((name, plan.machines.get(machine)?)));
         open.into_iter().next()
     }
 
-    fn moved(&mut self, plan: &str, machine: &str, to: Stage, why: &str, wall_us: u64) {
+    fn set_stage(&mut self, plan: &str, machine: &str, to: Stage, why: &str, wall_us: u64) {
         self.revision += 1;
         let revision = self.revision;
-        let Some(one) = self.plans.get_mut(plan).and_then(|plan| plan.machines.get_mut(machine)) else {
+        let Some(entry) = self.plans.get_mut(plan).and_then(|plan| plan.machines.get_mut(machine)) else {
             return;
         };
-        one.put_back += u32::from(to == Stage::Proposed);
-        (one.stage, one.why, one.revision, one.wall_us) = (to, why.to_owned(), revision, wall_us);
+        entry.put_back += u32::from(to == Stage::Proposed);
+        (entry.stage, entry.why, entry.revision, entry.wall_us) = (to, why.to_owned(), revision, wall_us);
     }
 
     /// Applies an owner's step. `token` is the last one granted for the duty.
-    pub fn step(&mut self, step: &Step, token: u64, voters: usize) -> Result<(), String> {
+    pub fn apply_step(&mut self, step: &Step, token: u64, voters: usize) -> Result<(), String> {
         if step.token != token {
             return Err(format!("token {} of the duty, {token} is the last one given", step.token));
         }
@@ -369,8 +375,8 @@
         if machine.stage != step.from || machine.revision != step.revision {
             return Err(format!("{} is {} by now", step.machine, machine.stage.name()));
         }
-        if !step.from.may_become(step.to) {
-            return Err(format!("from {} to {}", step.from.name(), step.to.name()));
+        if !step.from.can_become(step.to) {
+            return Err(format!("no transition from {} to {}", step.from.name(), step.to.name()));
         }
         let goes_out = matches!(step.to, Stage::Agreed | Stage::Leaving | Stage::Beginning);
         if goes_out && (plan.paused || plan.cancelled) {
@@ -380,44 +386,44 @@
             return Err("the plan is not cancelled".into());
         }
         if step.to == Stage::Agreed {
-            if let Some(why) = self.over(plan, machine, voters) {
+            if let Some(why) = self.bound_violation(plan, machine, voters) {
                 return Err(why);
             }
         }
         if step.to == Stage::Back && self.count().cold + 1 > plan.bounds.most_cold {
             return Err(format!("{} cold of {} that may be", self.count().cold, plan.bounds.most_cold));
         }
-        self.moved(&step.plan, &step.machine, step.to, &cut(&step.why), step.wall_us);
+        self.set_stage(&step.plan, &step.machine, step.to, &truncate_reason(&step.why), step.wall_us);
         Ok(())
     }
 
     /// Sets the version under which a machine leaves or returns.
-    pub fn leaves(&mut self, plan: &str, machine: &str, version: u64) {
-        if let Some(one) = self.plans.get_mut(plan).and_then(|plan| plan.machines.get_mut(machine)) {
-            one.version = version;
+    pub fn set_version(&mut self, plan: &str, machine: &str, version: u64) {
+        if let Some(entry) = self.plans.get_mut(plan).and_then(|plan| plan.machines.get_mut(machine)) {
+            entry.version = version;
         }
     }
 
     /// Records what a plan is waiting for, if the report carries the last token granted (`last`).
-    pub fn waits(&mut self, token: u64, last: u64, plan: &str, why: &str) -> Result<(), String> {
+    pub fn set_waits(&mut self, token: u64, last: u64, plan: &str, why: &str) -> Result<(), String> {
         if token != last {
             return Err(format!("token {token} of the duty, {last} is the last one given"));
         }
         let plan = self.plans.get_mut(plan).ok_or("no such plan")?;
-        plan.waits = cut(why);
+        plan.waits = truncate_reason(why);
         self.revision += 1;
         Ok(())
     }
 
-    pub fn order(&mut self, order: &Order) -> Result<(), String> {
+    pub fn apply_order(&mut self, order: &Order) -> Result<(), String> {
         match order {
             Order::Add { name, plan } => self.add(name, plan),
-            Order::Say { name, say } => self.say(name, *say),
+            Order::Say { name, say } => self.apply_to_plan(name, *say),
             Order::Ended { machine, well } => {
-                let Some((plan, one)) = self.find(machine) else {
+                let Some((plan, entry)) = self.find_machine(machine) else {
                     return Err(format!("{machine:?} is in no open plan"));
                 };
-                let (plan, stage) = (plan.clone(), one.stage);
+                let (plan, stage) = (plan.clone(), entry.stage);
                 let (to, why) = match (stage, well) {
                     (Stage::Working | Stage::Failed, true) => (Stage::Mended, "done, by an operator's word"),
                     (Stage::Working, false) => (Stage::Failed, "failed, by an operator's word"),
@@ -425,12 +431,12 @@
                     (Stage::Failed, false) => return Ok(()),
                     (Stage::Beginning, _) => {
                         return Err(format!(
-                            "{machine} is beginning: whether its work has begun is not known yet"
+                            "{machine} is beginning: it is not known yet whether its work has started"
                         ))
                     }
                     _ => return Err(format!("{machine} is not under work: it is {}", stage.name())),
                 };
-                self.moved(&plan, machine, to, why, 0);
+                self.set_stage(&plan, machine, to, why, 0);
                 Ok(())
             }
             // Handled by `state::Fleet`.
@@ -444,26 +450,26 @@
                 return Err(format!("plan {name:?} is there already"));
             }
         }
-        if plan.machines.is_empty() || plan.machines.len() > MOST_MACHINES {
-            return Err(format!("1 to {MOST_MACHINES} machines in a plan"));
+        if plan.machines.is_empty() || plan.machines.len() > MAX_MACHINES {
+            return Err(format!("a plan takes 1 to {MAX_MACHINES} machines"));
         }
-        let long =
-            plan.machines.keys().chain([&name.to_owned(), &plan.why]).any(|text| text.len() > MOST_TEXT);
-        if long || plan.maintenance.as_ref().is_some_and(|text| text.len() > MOST_TEXT) {
-            return Err(format!("a text of more than {MOST_TEXT} bytes"));
+        let too_long =
+            plan.machines.keys().chain([&name.to_owned(), &plan.why]).any(|text| text.len() > MAX_TEXT_BYTES);
+        if too_long || plan.maintenance.as_ref().is_some_and(|text| text.len() > MAX_TEXT_BYTES) {
+            return Err(format!("a name, reason or address exceeds {MAX_TEXT_BYTES} bytes"));
         }
         for machine in plan.machines.keys() {
             // Refused rather than merged: a machine's bounds and its work must come from one plan.
-            if let Some((other, _)) = self.find(machine) {
+            if let Some((other, _)) = self.find_machine(machine) {
                 return Err(format!("{machine} is in plan {other:?} already"));
             }
         }
-        if !self.plans.contains_key(name) && self.plans.len() >= MOST_PLANS {
-            let over = self.plans.iter().filter(|(_, plan)| plan.is_over());
-            let oldest = over.min_by_key(|(_, plan)| plan.number).map(|(name, _)| name.clone());
+        if !self.plans.contains_key(name) && self.plans.len() >= MAX_PLANS {
+            let finished = self.plans.iter().filter(|(_, plan)| plan.is_over());
+            let oldest = finished.min_by_key(|(_, plan)| plan.number).map(|(name, _)| name.clone());
             match oldest {
                 Some(oldest) => self.plans.remove(&oldest),
-                None => return Err(format!("{MOST_PLANS} plans are open")),
+                None => return Err(format!("{MAX_PLANS} plans are open, which is the maximum")),
             };
         }
         (self.taken, self.revision) = (self.taken + 1, self.revision + 1);
@@ -477,7 +483,7 @@
         Ok(())
     }
 
-    fn say(&mut self, name: &str, say: Say) -> Result<(), String> {
+    fn apply_to_plan(&mut self, name: &str, say: Say) -> Result<(), String> {
         let plan = self.plans.get_mut(name).ok_or_else(|| format!("no plan {name:?}"))?;
         if plan.is_over() {
             return Err(format!("plan {name:?} is over"));
@@ -494,13 +500,13 @@
 }
 
 /// Truncates a reason to the length allowed in the log.
-pub fn cut(text: &str) -> String {
-    text.chars().take(MOST_TEXT).collect()
+pub fn truncate_reason(text: &str) -> String {
+    text.chars().take(MAX_TEXT_BYTES).collect()
 }
 
 /// Whether a proxy may still send when it is out of contact with the fleet, according to its fleet file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Terms {
+pub struct SendPolicy {
     /// Its permission to send ends by its own clock after a lease without contact.
     pub drains: bool,
     /// After a start, it sends nothing before it knows the version in force.
@@ -511,9 +517,9 @@
 
 /// A proxy that has left and may still send.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Absent {
-    pub who: Who,
-    pub terms: Terms,
+pub struct DepartedProxy {
+    pub who: ProcessId,
+    pub terms: SendPolicy,
     /// It announced its exit and had answered all queries.
     pub parted: bool,
 }
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -1,7 +1,7 @@
-//! A model of one duty, every order of its steps tried: two processes with the real `Holding`, a receiver with
+//! A model of one duty, every order of its steps tried: two processes with the real `HeldLeases`, a receiver with
 //! the real `Fence`, a leader that changes, words that come late, twice or never, clocks that run unlike.
 
-use crankpick_fleet::lease::{Fence, Holding, Times};
+use crankpick_fleet::lease::{Fence, HeldLeases, Timing};
 use stateright::{Checker, Model, Property};
 
 const LEASE: u64 = 3;
@@ -9,7 +9,7 @@
 const DUTY: &str = "outs";
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Word {
+enum Message {
     /// From a process, with the time by its own clock.
     Renew {
         from: usize,
@@ -31,7 +31,7 @@
     t: u64,
     /// How far each process's clock is behind the leader's.
     behind: [u64; 2],
-    holding: [Holding; 2],
+    holding: [HeldLeases; 2],
     /// Agreed: owner and token.
     owner: usize,
     token: u64,
@@ -40,7 +40,7 @@
     renewed: u64,
     changes: u8,
     /// On their way; sorted, publications may be delivered any number of times.
-    words: Vec<Word>,
+    words: Vec<Message>,
     fence: Fence,
     /// Tokens taken by the receiver, the last and the highest.
     taken: (u64, u64),
@@ -54,7 +54,7 @@
     Slow(usize),
     Renew(usize),
     Publish(usize),
-    Deliver(Word),
+    Deliver(Message),
     Grant,
     Leader,
 }
@@ -64,8 +64,8 @@
 }
 
 impl Duty {
-    fn times(&self) -> Times {
-        Times { lease_us: LEASE, margin_us: self.margin, ..Times::new(LEASE) }
+    fn times(&self) -> Timing {
+        Timing { lease_us: LEASE, margin_us: self.margin, ..Timing::new(LEASE) }
     }
 }
 
@@ -74,7 +74,7 @@
         self.t - self.behind[of]
     }
 
-    fn say(&mut self, word: Word) {
+    fn say(&mut self, word: Message) {
         if !self.words.contains(&word) {
             self.words.push(word);
             self.words.sort();
@@ -87,7 +87,7 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let holding = [Holding::default(), Holding::default()];
+        let holding = [HeldLeases::default(), HeldLeases::default()];
         vec![State {
             t: 1,
             behind: [0; 2],
@@ -135,25 +135,25 @@
         match step {
             Step::Tick => state.t += 1,
             Step::Slow(of) => state.behind[of] += 1,
-            Step::Renew(from) => state.say(Word::Renew { from, sent: last.clock(from) }),
+            Step::Renew(from) => state.say(Message::Renew { from, sent: last.clock(from) }),
             Step::Publish(of) => {
                 let token = last.holding[of].token(last.clock(of), DUTY)?;
-                state.say(Word::Publish { token });
+                state.say(Message::Publish { token });
             }
-            Step::Deliver(Word::Renew { from, sent }) => {
+            Step::Deliver(Message::Renew { from, sent }) => {
                 // The leader hears it now, whenever it was sent; one that is no owner is told nothing.
-                state.words.retain(|word| *word != Word::Renew { from, sent });
+                state.words.retain(|word| *word != Message::Renew { from, sent });
                 if state.owner == from {
                     state.renewed = state.t;
-                    state.say(Word::Renewed { to: from, sent, token: last.token });
+                    state.say(Message::Renewed { to: from, sent, token: last.token });
                 }
             }
-            Step::Deliver(Word::Renewed { to, sent, token }) => {
-                state.words.retain(|word| *word != Word::Renewed { to, sent, token });
+            Step::Deliver(Message::Renewed { to, sent, token }) => {
+                state.words.retain(|word| *word != Message::Renewed { to, sent, token });
                 let now = last.clock(to);
-                state.holding[to].renewed(now, DUTY, token, sent, &self.times());
+                state.holding[to].renew(now, DUTY, token, sent, &self.times());
             }
-            Step::Deliver(Word::Publish { token }) => match state.fence.pass(token) {
+            Step::Deliver(Message::Publish { token }) => match state.fence.accept(token) {
                 Ok(()) => state.taken = (token, token.max(last.taken.1)),
                 Err(_) => state.refused = true,
             },
--- a/crates/fleet/tests/order.rs
+++ b/crates/fleet/tests/order.rs
@@ -2,16 +2,16 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crankpick_fleet::order::{Before, Do, Owner};
-use crankpick_fleet::sight::{Sight, Summed};
-use crankpick_fleet::work::{Bounds, Is, Machine, Order, Plan, Stage, Step, Work};
+use crankpick_fleet::observation::{BackendSummary, FleetView};
+use crankpick_fleet::scheduler::{Action, Owner, SchedulerInput};
+use crankpick_fleet::work::{Bounds, Machine, MachineKind, Order, Plan, Stage, Step, Work};
 
 const TOKEN: u64 = 7;
 const S: u64 = 1_000_000;
 
 fn plan(bounds: Bounds, machines: &[(&str, &str, u32)]) -> Plan {
     let machine = |(id, zone, cell): &(&str, &str, u32)| {
-        ((*id).to_owned(), Machine::new(Is::Backend, zone, *cell, false))
+        ((*id).to_owned(), Machine::new(MachineKind::Backend, zone, *cell, false))
     };
     Plan {
         why: "patches".into(),
@@ -27,36 +27,47 @@
 
 fn work(plan: Plan) -> Work {
     let mut work = Work::default();
-    work.order(&Order::Add { name: "p".into(), plan: Box::new(plan) }).expect("a sound plan");
+    work.apply_order(&Order::Add { name: "p".into(), plan: Box::new(plan) }).expect("a sound plan");
     work
 }
 
-fn sight(backends: &[(&str, &str, u32, f64, f64)]) -> Sight {
+fn sight(backends: &[(&str, &str, u32, f64, f64)]) -> FleetView {
     let one = |(id, zone, cell, load, max): &(&str, &str, u32, f64, f64)| {
-        let summed = Summed { zone: (*zone).into(), cell: *cell, load: *load, max: *max, by: 4, lost_by: 0 };
-        ((*id).to_owned(), summed)
+        let aggregate =
+            BackendSummary { zone: (*zone).into(), cell: *cell, load: *load, max: *max, by: 4, lost_by: 0 };
+        ((*id).to_owned(), aggregate)
     };
     let backends = backends.iter().map(one).collect();
-    Sight {
+    FleetView {
         backends,
         proxies: 4,
         in_touch: 4,
         told: 4,
         queries: 100.0,
         considered: u64::MAX,
-        ..Sight::default()
+        ..FleetView::default()
     }
 }
 
-fn next(owner: &mut Owner, now_us: u64, work: &Work, sight: &Sight) -> Vec<Do> {
+fn next(owner: &mut Owner, now_us: u64, work: &Work, sight: &FleetView) -> Vec<Action> {
     let (outs, voters) = (work.outs(), ["a", "b", "c"].map(str::to_owned));
     let wall_us = now_us;
     let (token, patience_us) = (TOKEN, S);
-    owner.next(&Before { now_us, wall_us, work, sight, outs: &outs, voters: &voters, token, patience_us })
+    owner.next(&SchedulerInput {
+        now_us,
+        wall_us,
+        work,
+        sight,
+        outs: &outs,
+        voters: &voters,
+        token,
+        patience_us,
+    })
 }
 
-fn steps(all: Vec<Do>) -> Vec<Step> {
-    let steps = all.into_iter().find_map(|one| if let Do::Steps(steps) = one { Some(steps) } else { None });
+fn steps(all: Vec<Action>) -> Vec<Step> {
+    let steps =
+        all.into_iter().find_map(|one| if let Action::Steps(steps) = one { Some(steps) } else { None });
     steps.unwrap_or_default()
 }
 
@@ -64,20 +75,20 @@
     all.iter().filter(|step| step.to == to).map(|step| step.machine.as_str()).collect()
 }
 
-fn waits(all: &[Do]) -> String {
+fn waits(all: &[Action]) -> String {
     let said =
-        all.iter().find_map(|one| if let Do::Waits { why, .. } = one { Some(why.clone()) } else { None });
+        all.iter().find_map(|one| if let Action::Waits { why, .. } = one { Some(why.clone()) } else { None });
     said.unwrap_or_default()
 }
 
 /// Applies what is settled until nothing more is, proxies confirming each leaving at once.
-fn carry(work: &mut Work, sight: &mut Sight, owner: &mut Owner, now_us: u64) {
+fn carry(work: &mut Work, sight: &mut FleetView, owner: &mut Owner, now_us: u64) {
     for _ in 0..20 {
-        let all = work.open().flat_map(|(_, plan)| &plan.machines);
+        let all = work.open_plans().flat_map(|(_, plan)| &plan.machines);
         let leaving = all.filter(|(_, one)| one.stage == Stage::Leaving).map(|(id, _)| (id.clone(), vec![]));
         sight.waits = leaving.collect();
         for step in steps(next(owner, now_us, work, sight)) {
-            work.step(&step, TOKEN, 3).expect("settled by the same bounds");
+            work.apply_step(&step, TOKEN, 3).expect("settled by the same bounds");
         }
     }
 }
@@ -118,7 +129,7 @@
         refs.iter().map(|(id, zone, cell)| (*id, *zone, *cell, 1.0, 20.0)).collect();
     let (mut sight, mut owner) = (sight(&full), Owner::default());
     let (mut now_us, mut most) = (0, 0);
-    while work.open().next().is_some() {
+    while work.open_plans().next().is_some() {
         carry(&mut work, &mut sight, &mut owner, now_us);
         let count = work.count();
         assert!(count.all <= 5 && count.cold <= 1, "{count:?}");
@@ -131,7 +142,7 @@
             .map(|(id, _)| id.clone())
             .collect();
         for machine in working {
-            work.order(&Order::Ended { machine, well: true }).expect("under work");
+            work.apply_order(&Order::Ended { machine, well: true }).expect("under work");
         }
         now_us += S / 2;
         assert!(now_us < 200 * S, "{work:?}");
@@ -149,7 +160,7 @@
     ];
     let machines = [("a", "z", 0), ("b", "z", 0), ("c", "z", 0), ("d", "z", 0)];
     let bounds = Bounds { most_out: 2, ..Bounds::default() };
-    type Ill = fn(&mut Sight);
+    type Ill = fn(&mut FleetView);
     let ills: [(&str, Ill); 5] = [
         ("are silent", |sight| (sight.in_touch, sight.told) = (2, 2)),
         ("are turned away", |sight| sight.rejected = 20.0),
@@ -162,7 +173,7 @@
             (work(plan(bounds.clone(), &machines)), Owner::default(), sight(&full));
         for _ in 0..2 {
             for step in steps(next(&mut owner, 0, &work, &seen)) {
-                work.step(&step, TOKEN, 3).expect("sound");
+                work.apply_step(&step, TOKEN, 3).expect("sound");
             }
         }
         let leaving = work.outs();
@@ -198,7 +209,7 @@
     let mut work = work(plan(bounds, &[("a", "z", 0)]));
     let (mut owner, mut seen) = (Owner::default(), sight(&full));
     for step in steps(next(&mut owner, 0, &work, &seen)) {
-        work.step(&step, TOKEN, 3).expect("sound");
+        work.apply_step(&step, TOKEN, 3).expect("sound");
     }
     seen.objections.push(("n3".into(), "a".into(), "the only backend in reach".into()));
     let all = next(&mut owner, S, &work, &seen);
@@ -260,13 +271,19 @@
                     continue;
                 }
                 let (load, max) = (3.0 * rng.f64(), 10.0 * rng.f64());
-                let one =
-                    Summed { zone: zone.clone(), cell: *cell, load, max, by: 4, lost_by: rng.u32(0..4) };
+                let one = BackendSummary {
+                    zone: zone.clone(),
+                    cell: *cell,
+                    load,
+                    max,
+                    by: 4,
+                    lost_by: rng.u32(0..4),
+                };
                 words.backends.insert(id.clone(), one);
             }
             (words.in_touch, words.told) = (rng.u32(2..5), rng.u32(1..5));
             words.rejected = rng.f64() * 8.0;
-            let all = work.open().flat_map(|(_, plan)| &plan.machines);
+            let all = work.open_plans().flat_map(|(_, plan)| &plan.machines);
             let leaving = all.filter(|(_, one)| one.stage == Stage::Leaving && rng.bool());
             words.waits = leaving.map(|(id, _)| (id.clone(), vec![])).collect();
             let now_us = turn * S;
@@ -274,22 +291,25 @@
             assert_eq!(settled, next(&mut twin, now_us, &work, &words), "seed {seed}");
             for step in steps(settled) {
                 // A late owner's is refused by the log, though nothing has changed since.
-                assert!(work.clone().step(&Step { token: TOKEN - 1, ..step.clone() }, TOKEN, 3).is_err());
-                work.step(&step, TOKEN, 3).unwrap_or_else(|why| panic!("seed {seed}: {step:?}: {why}"));
+                assert!(work
+                    .clone()
+                    .apply_step(&Step { token: TOKEN - 1, ..step.clone() }, TOKEN, 3)
+                    .is_err());
+                work.apply_step(&step, TOKEN, 3).unwrap_or_else(|why| panic!("seed {seed}: {step:?}: {why}"));
                 let count = work.count();
                 assert!(
                     count.all <= most_out && count.zones.values().all(|out| *out <= bounds.most_out_zone)
                 );
                 // So is one that is meant for an earlier time out.
-                assert!(work.clone().step(&step, TOKEN, 3).is_err());
+                assert!(work.clone().apply_step(&step, TOKEN, 3).is_err());
             }
-            let working = work.open().flat_map(|(_, plan)| &plan.machines);
+            let working = work.open_plans().flat_map(|(_, plan)| &plan.machines);
             let working: Vec<String> = working
                 .filter(|(_, one)| matches!(one.stage, Stage::Working | Stage::Failed) && rng.bool())
                 .map(|(id, _)| id.clone())
                 .collect();
             for machine in working {
-                work.order(&Order::Ended { machine, well: rng.u32(0..4) > 0 }).expect("under work");
+                work.apply_order(&Order::Ended { machine, well: rng.u32(0..4) > 0 }).expect("under work");
             }
         }
     }
@@ -306,40 +326,43 @@
         Step { token: TOKEN, plan, machine, from: one.stage, to, revision: one.revision, why, wall_us: 0 }
     };
     let first = step(&work, "a", Stage::Agreed);
-    assert!(work.step(&Step { token: TOKEN - 1, ..first.clone() }, TOKEN, 3).unwrap_err().contains("token"));
-    work.step(&first, TOKEN, 3).expect("sound");
+    assert!(work
+        .apply_step(&Step { token: TOKEN - 1, ..first.clone() }, TOKEN, 3)
+        .unwrap_err()
+        .contains("token"));
+    work.apply_step(&first, TOKEN, 3).expect("sound");
     let back = step(&work, "a", Stage::Proposed);
-    work.step(&back, TOKEN, 3).expect("nobody works there");
+    work.apply_step(&back, TOKEN, 3).expect("nobody works there");
     // Proposed again: a step that was meant for the first time is none for the second.
-    assert!(work.step(&first, TOKEN, 3).unwrap_err().contains("by now"));
+    assert!(work.apply_step(&first, TOKEN, 3).unwrap_err().contains("by now"));
     for to in [Stage::Leaving, Stage::Out, Stage::Working, Stage::Done, Stage::Cancelled] {
         let skipped = step(&work, "a", to);
-        assert!(work.step(&skipped, TOKEN, 3).is_err(), "{}", to.name());
+        assert!(work.apply_step(&skipped, TOKEN, 3).is_err(), "{}", to.name());
     }
     for id in ["a", "b", "c"] {
         let agreed = step(&work, id, Stage::Agreed);
-        assert_eq!(work.step(&agreed, TOKEN, 3).is_err(), id == "c", "two of a zone");
+        assert_eq!(work.apply_step(&agreed, TOKEN, 3).is_err(), id == "c", "two of a zone");
     }
     for id in ["a", "b"] {
         for to in [Stage::Leaving, Stage::Out, Stage::Beginning, Stage::Working] {
             let on = step(&work, id, to);
-            work.step(&on, TOKEN, 3).expect("in order");
+            work.apply_step(&on, TOKEN, 3).expect("in order");
         }
         // Begun, it is called back by nobody; and only an operator ends it.
         for to in [Stage::Proposed, Stage::Mended, Stage::Back, Stage::Cancelled] {
             let wrong = step(&work, id, to);
-            assert!(work.step(&wrong, TOKEN, 3).is_err(), "{}", to.name());
+            assert!(work.apply_step(&wrong, TOKEN, 3).is_err(), "{}", to.name());
         }
-        work.order(&Order::Ended { machine: id.into(), well: true }).expect("under work");
+        work.apply_order(&Order::Ended { machine: id.into(), well: true }).expect("under work");
     }
     let (a, b) = (step(&work, "a", Stage::Back), step(&work, "b", Stage::Back));
-    work.step(&a, TOKEN, 3).expect("the first");
-    assert!(work.step(&b, TOKEN, 3).unwrap_err().contains("cold"));
+    work.apply_step(&a, TOKEN, 3).expect("the first");
+    assert!(work.apply_step(&b, TOKEN, 3).unwrap_err().contains("cold"));
     // Of three voters one may be away.
     let mut both = plan(Bounds { most_out: 3, ..Bounds::default() }, &[("v1", "v1", 0), ("v2", "v2", 0)]);
-    both.machines.values_mut().for_each(|one| (one.is, one.votes) = (Is::Proxy, true));
+    both.machines.values_mut().for_each(|one| (one.is, one.votes) = (MachineKind::Proxy, true));
     let mut work = self::work(both);
     let (one, two) = (step(&work, "v1", Stage::Agreed), step(&work, "v2", Stage::Agreed));
-    work.step(&one, TOKEN, 3).expect("one of three");
-    assert!(work.step(&two, TOKEN, 3).unwrap_err().contains("bear the loss of 1"));
+    work.apply_step(&one, TOKEN, 3).expect("one of three");
+    assert!(work.apply_step(&two, TOKEN, 3).unwrap_err().contains("bear the loss of 1"));
 }
--- a/crates/fleet/tests/proof.rs
+++ b/crates/fleet/tests/proof.rs
@@ -2,28 +2,28 @@
 
 use std::collections::BTreeSet;
 
-use crankpick_fleet::lead::Lead;
-use crankpick_fleet::lease::Times;
+use crankpick_fleet::leader::LeaderState;
+use crankpick_fleet::lease::Timing;
+use crankpick_fleet::messages::{ProcessId, Renewal, Renewed, WORK};
+use crankpick_fleet::observation::ProxyReport;
 use crankpick_fleet::session::Session;
-use crankpick_fleet::sight::Seen;
 use crankpick_fleet::state::{Command, Fleet, Outcome};
-use crankpick_fleet::words::{Renewal, Renewed, Who, WORK};
-use crankpick_fleet::work::{Bounds, Is, Machine, Order, Plan, Stage, Step, Terms};
+use crankpick_fleet::work::{Bounds, Machine, MachineKind, Order, Plan, SendPolicy, Stage, Step};
 
 const LEASE: u64 = 1_000_000;
 const LONGEST: u64 = 2_000_000;
-const WAITS: Terms = Terms { drains: false, waits: true, longest_us: LONGEST };
-const DRAINS: Terms = Terms { drains: true, ..WAITS };
-const SERVES: Terms = Terms { waits: false, ..WAITS };
+const WAITS: SendPolicy = SendPolicy { drains: false, waits: true, longest_us: LONGEST };
+const DRAINS: SendPolicy = SendPolicy { drains: true, ..WAITS };
+const SERVES: SendPolicy = SendPolicy { waits: false, ..WAITS };
 
-fn who(name: &str) -> Who {
-    Who { name: name.into(), incarnation: 1 }
+fn who(name: &str) -> ProcessId {
+    ProcessId { name: name.into(), incarnation: 1 }
 }
 
 /// Machine "m", or proxy "n1", leaves under version 1, with these in the record; the first owns the work.
-fn leaving(is: Is, proxies: &[(&str, Terms)]) -> Fleet {
+fn leaving(is: MachineKind, proxies: &[(&str, SendPolicy)]) -> Fleet {
     let mut fleet = Fleet::default();
-    let name = if is == Is::Backend { "m" } else { "n1" };
+    let name = if is == MachineKind::Backend { "m" } else { "n1" };
     let joins = proxies.iter().map(|(name, terms)| (who(name), *terms)).collect();
     fleet.apply(Command::Join(joins));
     fleet.apply(Command::Grant { duty: WORK.into(), token: 1, to: who(proxies[0].0) });
@@ -48,7 +48,7 @@
     fleet
 }
 
-fn renewal(name: &str, terms: Terms, acted: u64, kept: u64, busy: &[&str]) -> Renewal {
+fn renewal(name: &str, terms: SendPolicy, acted: u64, kept: u64, busy: &[&str]) -> Renewal {
     let busy = busy.iter().map(|id| (*id).to_owned()).collect();
     Renewal {
         who: who(name),
@@ -62,27 +62,27 @@
         heard: 0,
         kept,
         terms,
-        seen: Seen { busy, ..Seen::default() },
+        seen: ProxyReport { busy, ..ProxyReport::default() },
         work: None,
     }
 }
 
 struct Waiting {
-    lead: Lead<()>,
+    lead: LeaderState<()>,
     fleet: Fleet,
-    times: Times,
+    times: Timing,
 }
 
 impl Waiting {
     fn new(fleet: Fleet) -> Self {
-        let mut waiting = Waiting { lead: Lead::new("v0", 1, 0), fleet, times: Times::new(LEASE) };
+        let mut waiting = Waiting { lead: LeaderState::new("v0", 1, 0), fleet, times: Timing::new(LEASE) };
         // The leader learns of it at time 0.
-        waiting.lead.sight(0, &waiting.fleet, &waiting.times);
+        waiting.lead.fleet_view(0, &waiting.fleet, &waiting.times);
         waiting
     }
 
     fn hear(&mut self, at_us: u64, renewal: Renewal) {
-        self.lead.hear(at_us, renewal, ());
+        self.lead.record_renewal(at_us, renewal, ());
     }
 
     fn for_what(&self, now_us: u64) -> Vec<String> {
@@ -93,7 +93,7 @@
 
 #[test]
 fn each_proxy_must_act_have_nothing_in_hand_and_be_unable_to_forget() {
-    let mut one = Waiting::new(leaving(Is::Backend, &[("a", WAITS), ("b", SERVES)]));
+    let mut one = Waiting::new(leaving(MachineKind::Backend, &[("a", WAITS), ("b", SERVES)]));
     assert_eq!(one.for_what(60 * LEASE), ["a was not heard of", "b was not heard of"]);
     one.hear(1, renewal("a", WAITS, 0, 0, &[]));
     one.hear(1, renewal("b", SERVES, 1, 0, &["m"]));
@@ -115,7 +115,7 @@
 
 #[test]
 fn who_drains_itself_is_shut_out_after_a_lease_and_its_longest_execution() {
-    let mut one = Waiting::new(leaving(Is::Backend, &[("a", DRAINS)]));
+    let mut one = Waiting::new(leaving(MachineKind::Backend, &[("a", DRAINS)]));
     one.hear(1, renewal("a", DRAINS, 0, 0, &[]));
     assert_eq!(one.for_what(LEASE + LONGEST - 1).len(), 1);
     assert!(one.for_what(LEASE + LONGEST).is_empty());
@@ -133,7 +133,7 @@
         (SERVES, false, "a left without a word"),
         (DRAINS, false, ""),
     ] {
-        let mut fleet = leaving(Is::Backend, &[("a", terms)]);
+        let mut fleet = leaving(MachineKind::Backend, &[("a", terms)]);
         fleet.apply(Command::Leave(vec![(who("a"), parted)]));
         let mut one = Waiting::new(fleet);
         let told = one.for_what(LEASE + LONGEST);
@@ -145,7 +145,7 @@
 
 #[test]
 fn a_proxy_has_gone_once_it_owns_nothing_and_has_nothing_in_hand() {
-    let mut one = Waiting::new(leaving(Is::Proxy, &[("n1", WAITS)]));
+    let mut one = Waiting::new(leaving(MachineKind::Proxy, &[("n1", WAITS)]));
     let mut word = renewal("n1", WAITS, 1, 1, &[]);
     word.seen.drained = true;
     one.hear(1, word);
@@ -175,27 +175,27 @@
 /// Counted from the sending, less the margin, and only by answers that tell of nothing it has yet to act on.
 #[test]
 fn the_right_to_send_ends_before_the_fleet_counts_on_it() {
-    let times = Times::new(LEASE);
+    let times = Timing::new(LEASE);
     let mut session = Session::new(who("a"), times, None);
     session.terms = DRAINS;
-    assert_eq!(session.right_until(), 0);
-    session.renewed(900, answer(100, 0));
-    assert_eq!(session.right_until(), 100 + LEASE - times.margin_us);
-    session.renewed(2_000, answer(1_500, 1));
-    assert_eq!(session.right_until(), 100 + LEASE - times.margin_us, "version 1 is not acted on");
-    session.acts(2_100, 1, BTreeSet::new());
-    assert_eq!(session.right_until(), 1_500 + LEASE - times.margin_us);
+    assert_eq!(session.send_until_us(), 0);
+    session.handle_answer(900, answer(100, 0));
+    assert_eq!(session.send_until_us(), 100 + LEASE - times.margin_us);
+    session.handle_answer(2_000, answer(1_500, 1));
+    assert_eq!(session.send_until_us(), 100 + LEASE - times.margin_us, "version 1 is not acted on");
+    session.record_applied(2_100, 1, BTreeSet::new());
+    assert_eq!(session.send_until_us(), 1_500 + LEASE - times.margin_us);
     // An older answer shortens nothing.
-    session.renewed(2_200, answer(1_000, 1));
-    assert_eq!(session.right_until(), 1_500 + LEASE - times.margin_us);
+    session.handle_answer(2_200, answer(1_000, 1));
+    assert_eq!(session.send_until_us(), 1_500 + LEASE - times.margin_us);
     let mut waits = Session::new(who("a"), times, None);
     waits.terms = WAITS;
-    assert_eq!(waits.right_until(), 0, "unheard it sends nothing");
-    waits.renewed(900, answer(100, 1));
-    assert_eq!(waits.right_until(), 0, "version 1 is not acted on");
-    waits.acts(1_000, 1, BTreeSet::new());
-    assert_eq!(waits.right_until(), u64::MAX);
+    assert_eq!(waits.send_until_us(), 0, "unheard it sends nothing");
+    waits.handle_answer(900, answer(100, 1));
+    assert_eq!(waits.send_until_us(), 0, "version 1 is not acted on");
+    waits.record_applied(1_000, 1, BTreeSet::new());
+    assert_eq!(waits.send_until_us(), u64::MAX);
     let mut serves = Session::new(who("a"), times, None);
     serves.terms = SERVES;
-    assert_eq!(serves.right_until(), u64::MAX);
+    assert_eq!(serves.send_until_us(), u64::MAX);
 }
--- a/crates/fleet/tests/unit/sight.rs
+++ b/crates/fleet/tests/unit/observation.rs
@@ -2,26 +2,26 @@
 
 #[test]
 fn coarse_values_are_within_a_tenth_and_keep_their_order() {
-    let mut last = Coarse::of(0.0);
+    let mut last = Quantized::of(0.0);
     assert_eq!(last.value(), 0.0);
     for step in 0..2_000 {
         let value = 0.02 * 1.005_f64.powi(step);
-        let coarse = Coarse::of(value);
+        let coarse = Quantized::of(value);
         assert!((coarse.value() / value - 1.0).abs() < 0.1 && coarse >= last, "{value}: {coarse:?}");
         last = coarse;
     }
-    assert_eq!(Coarse::of(f64::NAN), Coarse(0));
-    assert_eq!(Coarse::of(f64::INFINITY), Coarse(255));
+    assert_eq!(Quantized::of(f64::NAN), Quantized(0));
+    assert_eq!(Quantized::of(f64::INFINITY), Quantized(255));
 }
 
-fn sees(load: f64, max: f64, lost: bool) -> Sees {
-    Sees { load: Coarse::of(load), max: Coarse::of(max), lost, ..Sees::default() }
+fn sees(load: f64, max: f64, lost: bool) -> BackendView {
+    BackendView { load: Quantized::of(load), max: Quantized::of(max), lost, ..BackendView::default() }
 }
 
 #[test]
 fn a_proxy_objects_where_nothing_or_too_little_would_be_left() {
     let names = |all: &[&str]| all.iter().map(|id| id.to_string()).collect::<Vec<_>>();
-    let mut view = View { queries: Coarse::of(5.0), ..View::default() };
+    let mut view = View { queries: Quantized::of(5.0), ..View::default() };
     view.backends.insert("a".into(), sees(1.0, 8.0, false));
     view.backends.insert("b".into(), sees(0.0, 8.0, true));
     // The other one is lost: nothing would be left.
@@ -36,13 +36,13 @@
 #[test]
 fn one_liar_moves_the_sum_by_its_own_share_and_not_the_maxima() {
     let view = |load, max| {
-        let mut view = View { queries: Coarse::of(10.0), ..View::default() };
+        let mut view = View { queries: Quantized::of(10.0), ..View::default() };
         view.backends.insert("a".into(), sees(load, max, false));
         view
     };
     let views = [view(1.0, 8.0), view(1.0, 8.0), view(0.0, 1e6)];
     let words = |count: usize| {
-        let word = |(at, view): (usize, &'static View)| Words {
+        let word = |(at, view): (usize, &'static View)| LatestReport {
             name: ["p", "q", "r", "s"][at],
             view: (at < count).then_some(view),
             objections: &[],
@@ -51,7 +51,7 @@
             in_touch: true,
         };
         let views: &'static [View; 3] = Box::leak(Box::new(views.clone()));
-        summed(views.iter().enumerate().map(word))
+        aggregate(views.iter().enumerate().map(word))
     };
     let all = words(3);
     assert!((all.backends["a"].load - 2.0).abs() < 0.01 && (all.backends["a"].max - 8.0).abs() < 0.8);
--- a/crates/fleet/tests/votes.rs
+++ b/crates/fleet/tests/votes.rs
@@ -1,33 +1,33 @@
 //! Votes outlast restarts: a voter that comes back never votes twice in a term, unless its disk forgets.
 
-use crankpick_fleet::agree::{founding, Agree, Progress};
-use crankpick_fleet::kept::{Batch, Disk, Kept};
-use crankpick_fleet::lease::Times;
-use crankpick_fleet::words::Roster;
+use crankpick_fleet::consensus::{initial_batch, Consensus, Progress};
+use crankpick_fleet::lease::Timing;
+use crankpick_fleet::messages::Roster;
+use crankpick_fleet::storage::{Batch, Disk, PersistentState};
 
-struct MemDisk(Kept);
+struct MemDisk(PersistentState);
 
 impl Disk for MemDisk {
     fn write(&mut self, batch: &Batch) -> Result<(), String> {
-        self.0.absorb(batch);
+        self.0.apply(batch);
         Ok(())
     }
 }
 
 struct Voter {
     disk: MemDisk,
-    agree: Agree,
+    agree: Consensus,
 }
 
-fn times() -> Times {
-    Times::new(1_000_000)
+fn times() -> Timing {
+    Timing::new(1_000_000)
 }
 
 impl Voter {
     fn new(seat: u64, roster: &Roster) -> Self {
-        let mut disk = MemDisk(Kept::new(seat));
-        disk.write(&founding(roster)).expect("room");
-        let agree = Agree::new(&disk.0, 1, &times(), seat).expect("sound");
+        let mut disk = MemDisk(PersistentState::new(seat));
+        disk.write(&initial_batch(roster)).expect("room");
+        let agree = Consensus::new(&disk.0, 1, &times(), seat).expect("sound");
         Voter { disk, agree }
     }
 
@@ -35,7 +35,7 @@
         if forgets {
             (self.disk.0.log.hard.vote, self.disk.0.log.hard.term) = (0, 1);
         }
-        self.agree = Agree::new(&self.disk.0, 2, &times(), 9).expect("sound");
+        self.agree = Consensus::new(&self.disk.0, 2, &times(), 9).expect("sound");
     }
 
     fn pump(&mut self) -> Progress {
@@ -75,7 +75,7 @@
     let given_b = c.hear("b", &votes_b, 3);
     a.hear("c", &given_a, 1);
     b.hear("c", &given_b, 2);
-    (a.agree.leads(), b.agree.leads(), a.agree.term() == b.agree.term())
+    (a.agree.is_leader(), b.agree.is_leader(), a.agree.term() == b.agree.term())
 }
 
 #[test]
