--- a/crates/lab/src/crowd.rs
+++ b/crates/lab/src/crowd.rs
@@ -9,10 +9,10 @@
 
 use crankpick_carry::clock::now_us;
 use crankpick_carry::frames;
-use crankpick_fleet::lease::Times;
-use crankpick_fleet::sight::{Coarse, Seen, Sees, View};
-use crankpick_fleet::words::{Renewal, Who, Word};
-use crankpick_fleet::work::{Stage, Terms};
+use crankpick_fleet::lease::Timing;
+use crankpick_fleet::messages::{Message, ProcessId, Renewal};
+use crankpick_fleet::observation::{BackendView, ProxyReport, Quantized, View};
+use crankpick_fleet::work::{SendPolicy, Stage};
 use serde_json::{json, Value};
 use tokio::io::{AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
@@ -43,9 +43,9 @@
 
 /// One session: its signs of life, and the versions it hears of.
 struct Session {
-    who: Who,
+    who: ProcessId,
     voter: SocketAddr,
-    times: Times,
+    times: Timing,
     counts: Arc<Counts>,
     version: watch::Sender<u64>,
 }
@@ -64,15 +64,15 @@
     /// As one of many proxies sees its few backends.
     fn view(&self) -> View {
         let mut rng = fastrand::Rng::with_seed(self.who.incarnation);
-        let mut view = View { queries: Coarse::of(10.0), ..View::default() };
+        let mut view = View { queries: Quantized::of(10.0), ..View::default() };
         for _ in 0..8 {
             let number = rng.usize(0..BACKENDS);
             let (zone, cell) = place(number);
-            let sees = Sees {
+            let sees = BackendView {
                 zone,
                 cell,
-                load: Coarse::of(0.02 + 0.02 * rng.f64()),
-                max: Coarse::of(30.0),
+                load: Quantized::of(0.02 + 0.02 * rng.f64()),
+                max: Quantized::of(30.0),
                 lost: false,
             };
             view.backends.insert(format!("s-{number}"), sees);
@@ -80,7 +80,7 @@
         view
     }
 
-    async fn say(&self, stream: &mut (impl AsyncWriteExt + Unpin), word: &Word) -> Option<()> {
+    async fn say(&self, stream: &mut (impl AsyncWriteExt + Unpin), word: &Message) -> Option<()> {
         let frame = frames::framed(word)?;
         stream.write_all(&frame).await.ok()?;
         self.counts.bytes_out.fetch_add(frame.len() as u64, Ordering::Relaxed);
@@ -92,7 +92,7 @@
         let _ = stream.set_nodelay(true);
         let (reader, mut writer) = stream.into_split();
         let mut reader = BufReader::new(reader);
-        let hello = Word::Hello { fleet: "lab".into(), who: self.who.clone(), voter: false };
+        let hello = Message::Hello { fleet: "lab".into(), who: self.who.clone(), voter: false };
         if self.say(&mut writer, &hello).await.is_none() {
             return;
         }
@@ -118,20 +118,20 @@
                     let renewal = Renewal {
                         who: self.who.clone(), sent_us: now_us(), willing: false, writable: true, voter: false,
                         taken_token: token, taken, acted: taken, heard: 0, kept: taken,
-                        terms: Terms { drains: false, waits: true, longest_us: 2_000_000 },
-                        seen: Seen { revision, view: view.take(), ..Seen::default() }, work: None,
+                        terms: SendPolicy { drains: false, waits: true, longest_us: 2_000_000 },
+                        seen: ProxyReport { revision, view: view.take(), ..ProxyReport::default() }, work: None,
                     };
                     // As the real session: again soon while nobody answers.
                     let pace = if first { 2 * self.times.renew_us } else { self.times.session_us };
                     next_at = Instant::now() + Duration::from_micros(pace);
-                    if self.say(&mut writer, &Word::Renew(renewal)).await.is_none() {
+                    if self.say(&mut writer, &Message::Renew(renewal)).await.is_none() {
                         return;
                     }
                 }
                 word = heard.recv() => {
                     let Some(word) = word else { return };
                     match word {
-                        Word::Renewed(answer) => {
+                        Message::Renewed(answer) => {
                             if std::mem::take(&mut first) {
                                 self.counts.answered.fetch_add(1, Ordering::Relaxed);
                             }
@@ -144,13 +144,13 @@
                                 next_soon(&mut next_at);
                             }
                         }
-                        Word::Publish { publication, .. } => {
+                        Message::Publish { publication, .. } => {
                             (taken, token) = (publication.version, publication.token);
                             // As a proxy that has acted on it says so at once.
                             next_soon(&mut next_at);
                             self.version.send_replace(taken);
                         }
-                        Word::Nudge(_) => next_soon(&mut next_at),
+                        Message::Nudge(_) => next_soon(&mut next_at),
                         _ => {}
                     }
                 }
@@ -217,9 +217,9 @@
         let (version, on_version) = watch::channel(0);
         versions.push(on_version);
         let session = Session {
-            who: Who { name: format!("c{number}"), incarnation: now_us() },
+            who: ProcessId { name: format!("c{number}"), incarnation: now_us() },
             voter: rig.voter(number % 3),
-            times: Times::new(lease_us),
+            times: Timing::new(lease_us),
             counts: Arc::clone(&counts),
             version,
         };
--- a/crates/lab/src/owner.rs
+++ b/crates/lab/src/owner.rs
@@ -11,7 +11,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, Instant};
 
-use crankpick_fleet::words::{MemberStatus, Status, OUTS};
+use crankpick_fleet::messages::{MemberStatus, Status, OUTS};
 
 use crate::emulate::Nature;
 use crate::faults::{plan, Draw, Faults};
--- a/crates/lab/src/rig/admin.rs
+++ b/crates/lab/src/rig/admin.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crankpick_fleet::words::Status;
+use crankpick_fleet::messages::Status;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
--- a/crates/lab/src/size.rs
+++ b/crates/lab/src/size.rs
@@ -5,9 +5,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-use crankpick_fleet::order::{Before, Do, Owner};
-use crankpick_fleet::sight::{summed, Coarse, Sees, View, Words};
-use crankpick_fleet::work::{Bounds, Is, Machine, Order as Say, Plan, Stage, Work};
+use crankpick_fleet::observation::{aggregate, BackendView, LatestReport, Quantized, View};
+use crankpick_fleet::scheduler::{Action, Owner, SchedulerInput};
+use crankpick_fleet::work::{Bounds, Machine, MachineKind, Order as Say, Plan, Stage, Work};
 use serde::Serialize;
 
 use crate::plot;
@@ -223,8 +223,8 @@
                 continue;
             }
             *view = View {
-                queries: Coarse::of(asked / count),
-                rejected: Coarse::of(lost / count),
+                queries: Quantized::of(asked / count),
+                rejected: Quantized::of(lost / count),
                 ..View::default()
             };
             for backend in &self.sees[at] {
@@ -235,12 +235,12 @@
                 let own = load[*backend] / f64::from(users[*backend].max(1));
                 let told = if at % 50 == 7 { 0.0 } else { own };
                 let able = model.able(one);
-                let sees = Sees {
+                let sees = BackendView {
                     zone: format!("z{}", one.zone),
                     cell: one.cell,
-                    load: Coarse::of(told),
+                    load: Quantized::of(told),
                     // Learned a little wrong.
-                    max: Coarse::of(able * (0.85 + 0.3 * self.rng.f64())),
+                    max: Quantized::of(able * (0.85 + 0.3 * self.rng.f64())),
                     lost: one.dead_until > model.t,
                 };
                 view.backends.insert(one.id.clone(), sees);
@@ -273,10 +273,9 @@
     let voters: Vec<String> = (0..5).map(|voter| format!("v{voter}")).collect();
     let names: Vec<String> = (0..size.proxies).map(|proxy| format!("p{proxy}")).collect();
     let (mut work, mut owner) = (Work::default(), Owner::default());
-    let machines = model
-        .backends
-        .iter()
-        .map(|one| (one.id.clone(), Machine::new(Is::Backend, &format!("z{}", one.zone), one.cell, false)));
+    let machines = model.backends.iter().map(|one| {
+        (one.id.clone(), Machine::new(MachineKind::Backend, &format!("z{}", one.zone), one.cell, false))
+    });
     let plan = Plan {
         why: "a week's patching".into(),
         bounds: bounds(size),
@@ -287,7 +286,7 @@
         number: 0,
         machines: machines.collect(),
     };
-    let _ = work.order(&Say::Add { name: "week".into(), plan: Box::new(plan) });
+    let _ = work.apply_order(&Say::Add { name: "week".into(), plan: Box::new(plan) });
     // What the others go by.
     let mut order: Vec<usize> = (0..model.backends.len()).collect();
     if matches!(way, Way::Random(_)) {
@@ -332,7 +331,7 @@
                 one.until = None;
                 match way {
                     Way::Settled => {
-                        let _ = work.order(&Say::Ended { machine: one.id.clone(), well: true });
+                        let _ = work.apply_order(&Say::Ended { machine: one.id.clone(), well: true });
                     }
                     _ => (one.stage, one.back_us) = (Stage::Done, Some(now)),
                 }
@@ -371,7 +370,7 @@
     names: &[String],
     voters: &[String],
 ) {
-    let words = proxies.views.iter().zip(names).map(|(view, name)| Words {
+    let words = proxies.views.iter().zip(names).map(|(view, name)| LatestReport {
         name,
         view: Some(view),
         objections: &[],
@@ -379,12 +378,12 @@
         age_us: 0,
         in_touch: true,
     });
-    let mut sight = summed(words);
+    let mut sight = aggregate(words);
     let leaving = work.plans["week"].machines.iter().filter(|(_, one)| one.stage == Stage::Leaving);
     sight.waits = leaving.map(|(id, _)| (id.clone(), Vec::new())).collect::<BTreeMap<_, _>>();
     let outs = work.outs();
     let (now_us, token) = (model.t, TOKEN);
-    let before = Before {
+    let before = SchedulerInput {
         now_us,
         wall_us: now_us,
         work,
@@ -397,17 +396,17 @@
     let mut steps = Vec::new();
     for one in owner.next(&before) {
         match one {
-            Do::Steps(all) => steps.extend(all),
-            Do::Waits { plan, why } => {
+            Action::Steps(all) => steps.extend(all),
+            Action::Waits { plan, why } => {
                 let mut next = work.clone();
-                let _ = next.waits(TOKEN, TOKEN, &plan, &why);
+                let _ = next.set_waits(TOKEN, TOKEN, &plan, &why);
                 *work = next;
             }
-            Do::Begin(_) => {}
+            Action::StartWork(_) => {}
         }
     }
     for step in steps {
-        if work.step(&step, TOKEN, voters.len()).is_err() {
+        if work.apply_step(&step, TOKEN, voters.len()).is_err() {
             continue;
         }
         let Some(one) = model.backends.iter_mut().find(|one| one.id == step.machine) else { continue };
--- a/crates/lab/src/work.rs
+++ b/crates/lab/src/work.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crankpick_fleet::sight::Sight;
-use crankpick_fleet::words::WORK;
+use crankpick_fleet::messages::WORK;
+use crankpick_fleet::observation::FleetView;
 use crankpick_fleet::work::{Plan, Work};
 use serde::Serialize;
 use serde_json::json;
@@ -99,7 +99,7 @@
 }
 
 /// The plans as any proxy tells of them.
-async fn told(rig: &Rig) -> Result<(Work, Sight), String> {
+async fn told(rig: &Rig) -> Result<(Work, FleetView), String> {
     let mut why = "nobody is up".to_owned();
     for at in (0..rig.procs.len()).filter(|at| rig.is_up(*at) && !rig.procs[*at].stopped) {
         match rig.call(at, "FLEET WORK SHOW").await {
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -19,11 +19,11 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-use crankpick_fleet::kept::Kept;
-use crankpick_fleet::lease::Times;
+use crankpick_fleet::lease::Timing;
+use crankpick_fleet::messages::Message;
 use crankpick_fleet::node::{Link, Node};
-use crankpick_fleet::words::Word;
-use crankpick_fleet::work::Terms;
+use crankpick_fleet::storage::PersistentState;
+use crankpick_fleet::work::SendPolicy;
 
 use crate::history::{check, drop_settled, Found, Kind, Line};
 use host::{Host, MemoryDisk};
@@ -91,8 +91,8 @@
 pub struct World {
     setup: Setup,
     voter_names: Vec<String>,
-    times: Times,
-    terms: Terms,
+    times: Timing,
+    terms: SendPolicy,
     rng: fastrand::Rng,
     /// Now, in microseconds.
     t: u64,
@@ -100,7 +100,7 @@
     queue: BinaryHeap<Reverse<(u64, u64, Occurrence)>>,
     sequence: u64,
     hosts: Vec<Host>,
-    in_flight: BTreeMap<u64, (Link, Word)>,
+    in_flight: BTreeMap<u64, (Link, Message)>,
     messages_sent: u64,
     /// From one host to another.
     paths: BTreeMap<(usize, usize), Path>,
@@ -121,7 +121,7 @@
 
 impl World {
     pub fn new(seed: u64, setup: Setup) -> Self {
-        let mut times = Times::new(setup.lease_us);
+        let mut times = Timing::new(setup.lease_us);
         times.margin_us = setup.margin.unwrap_or(times.margin_us);
         let mut rng = fastrand::Rng::with_seed(seed);
         let voter_names: Vec<String> = (0..setup.voters).map(|number| format!("v{number}")).collect();
@@ -270,7 +270,7 @@
 
 /// A host with a new disk and a clock of its own.
 fn drawn_host(name: String, drift: f64, rng: &mut fastrand::Rng) -> Host {
-    let disk = MemoryDisk::holding(Kept::new(rng.u64(1..)));
+    let disk = MemoryDisk::holding(PersistentState::new(rng.u64(1..)));
     let clock_offset = rng.u64(0..1_000_000_000);
     let pace = 1.0 + drift * (2.0 * rng.f64() - 1.0);
     Host::new(name, disk, clock_offset, pace)
--- a/crates/lab/src/world/faults.rs
+++ b/crates/lab/src/world/faults.rs
@@ -1,6 +1,6 @@
 //! Faults and operators' calls as drawn from the seed, and their end.
 
-use crankpick_fleet::kept::Kept;
+use crankpick_fleet::storage::PersistentState;
 
 use super::host::PowerFailure;
 use super::processes::OutsCall;
@@ -158,7 +158,7 @@
     /// The process ends, and its disk with it: it starts again with a new one.
     pub fn kill_with_disk(&mut self, at: usize) {
         self.crash(at, false);
-        self.hosts[at].disk.kept = Kept::new(self.rng.u64(1..));
+        self.hosts[at].disk.kept = PersistentState::new(self.rng.u64(1..));
     }
 
     /// A drawn call of an operator, now and then at two processes.
--- a/crates/lab/src/world/host.rs
+++ b/crates/lab/src/world/host.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crankpick_fleet::kept::{Batch, Disk, Kept};
+use crankpick_fleet::messages::Message;
 use crankpick_fleet::node::{Link, Node};
-use crankpick_fleet::words::Word;
+use crankpick_fleet::storage::{Batch, Disk, PersistentState};
 
 /// A power failure that strikes in a write.
 #[derive(Clone, Copy)]
@@ -18,7 +18,7 @@
 /// A disk in memory. What `write` returned for is there after a crash.
 #[derive(Default)]
 pub(super) struct MemoryDisk {
-    pub(super) kept: Kept,
+    pub(super) kept: PersistentState,
     pub(super) full: bool,
     pub(super) power_failure: Option<PowerFailure>,
     /// The power has failed in a write: the process is gone.
@@ -26,7 +26,7 @@
 }
 
 impl MemoryDisk {
-    pub(super) fn holding(kept: Kept) -> Self {
+    pub(super) fn holding(kept: PersistentState) -> Self {
         MemoryDisk { kept, ..MemoryDisk::default() }
     }
 }
@@ -39,14 +39,14 @@
         if let Some(failure) = &mut self.power_failure {
             if failure.writes_left == 0 {
                 if failure.last_write_survives {
-                    self.kept.absorb(batch);
+                    self.kept.apply(batch);
                 }
                 (self.power_failure, self.lost_power) = (None, true);
                 return Err("power lost".into());
             }
             failure.writes_left -= 1;
         }
-        self.kept.absorb(batch);
+        self.kept.apply(batch);
         Ok(())
     }
 }
@@ -60,7 +60,7 @@
     /// Told to exit: it owns nothing until it is started again.
     pub(super) exiting: bool,
     /// What came while it was paused.
-    pub(super) inbox: Vec<(Link, Word)>,
+    pub(super) inbox: Vec<(Link, Message)>,
     /// Own time is `clock_offset + pace * t`.
     pub(super) clock_offset: u64,
     pub(super) pace: f64,
@@ -113,12 +113,12 @@
 
     /// Whether its process holds any lease at a moment of the world.
     pub(super) fn holds_a_lease(&self, t: u64) -> bool {
-        self.node.as_ref().is_some_and(|node| node.session.holding.all(self.clock(t)).next().is_some())
+        self.node.as_ref().is_some_and(|node| node.session.leases.iter(self.clock(t)).next().is_some())
     }
 
     /// Whether its process runs and believes to own the duty at a moment of the world.
     pub(super) fn owns(&self, t: u64, duty: &str) -> bool {
-        let holds = |node: &Node| node.session.holding.token(self.clock(t), duty).is_some();
+        let holds = |node: &Node| node.session.leases.token(self.clock(t), duty).is_some();
         !self.paused && self.node.as_ref().is_some_and(holds)
     }
 
--- a/crates/lab/src/world/network.rs
+++ b/crates/lab/src/world/network.rs
@@ -1,7 +1,7 @@
 //! The network of the virtual world: connections to voters, and messages that are late or lost on their way.
 
+use crankpick_fleet::messages::Message;
 use crankpick_fleet::node::{Link, Node};
-use crankpick_fleet::words::Word;
 
 use super::{Occurrence, World};
 
@@ -56,7 +56,7 @@
     }
 
     /// Sends over a connection, either way.
-    pub(super) fn send_from(&mut self, at: usize, link: Link, message: Word) {
+    pub(super) fn send_from(&mut self, at: usize, link: Link, message: Message) {
         match link {
             Link::Voter(name) => {
                 let voter = self.voter_names.iter().position(|voter| *voter == name);
@@ -76,14 +76,14 @@
     }
 
     /// Says hello anew on all connections that a process has opened.
-    pub(super) fn send_hello(&mut self, at: usize, hello: &Word) {
+    pub(super) fn send_hello(&mut self, at: usize, hello: &Message) {
         let connections = self.hosts[at].connections.clone();
         for (voter, connection) in connections {
             self.send(at, voter, Link::Conn(connection), hello.clone());
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, link: Link, message: Word) {
+    fn send(&mut self, from: usize, to: usize, link: Link, message: Message) {
         let path = self.paths.get(&(from, to)).copied().unwrap_or_default();
         if path.cut || self.rng.f32() < path.loss {
             return;
@@ -91,7 +91,7 @@
         self.deliver(to, link, message, path.late_us);
     }
 
-    fn deliver(&mut self, to: usize, link: Link, message: Word, late_us: u64) {
+    fn deliver(&mut self, to: usize, link: Link, message: Message, late_us: u64) {
         self.messages_sent += 1;
         if self.messages_sent > MOST_MESSAGES {
             // Messages that beget messages: the run would never end.
--- a/crates/lab/src/world/processes.rs
+++ b/crates/lab/src/world/processes.rs
@@ -1,8 +1,8 @@
 //! The processes of the virtual world: their starts and ends, what they take in, and what they do next.
 
+use crankpick_fleet::messages::{Ask, Message, Publication, Told};
 use crankpick_fleet::node::{Event, Link, Node, Output, Plan};
 use crankpick_fleet::state::{Command, Outcome};
-use crankpick_fleet::words::{Ask, Publication, Told, Word};
 
 use super::World;
 use crate::history::Kind;
@@ -101,7 +101,7 @@
         }
     }
 
-    pub(super) fn receive(&mut self, at: usize, link: Link, message: Word) {
+    pub(super) fn receive(&mut self, at: usize, link: Link, message: Message) {
         let Some((node, own)) = self.process(at) else { return };
         node.receive(own, link, message);
         self.settle(at);
--- a/crates/lab/src/world/script.rs
+++ b/crates/lab/src/world/script.rs
@@ -1,7 +1,7 @@
 //! For scripted schedules: faults one by one, and what can be asked of the fleet between them.
 
+use crankpick_fleet::messages::{Publication, OUTS};
 use crankpick_fleet::node::Node;
-use crankpick_fleet::words::{Publication, OUTS};
 
 use super::host::{Host, MemoryDisk};
 use super::processes::OutsCall;
--- a/crates/lab/src/world/upkeep.rs
+++ b/crates/lab/src/world/upkeep.rs
@@ -14,9 +14,9 @@
 use std::collections::BTreeSet;
 
 use crankpick_fleet::node::Node;
-use crankpick_fleet::sight::{Coarse, Sees, View};
+use crankpick_fleet::observation::{BackendView, Quantized, View};
 use crankpick_fleet::state::Fleet;
-use crankpick_fleet::work::{Bounds, Terms};
+use crankpick_fleet::work::{Bounds, SendPolicy};
 
 use super::{Occurrence, World};
 use crate::history::Kind;
@@ -30,7 +30,7 @@
 /// What is to be worked on, and what binds the proxies meanwhile.
 #[derive(Clone, Debug)]
 pub struct Plans {
-    pub terms: Terms,
+    pub terms: SendPolicy,
     pub backends: usize,
     pub zones: usize,
     pub bounds: Bounds,
@@ -43,7 +43,7 @@
 impl Plans {
     /// What binds the proxies, and whether they are worked on too, by the seed.
     pub fn drawn(seed: u64) -> Self {
-        let terms = Terms { drains: seed.is_multiple_of(2), waits: true, longest_us: 1_500_000 };
+        let terms = SendPolicy { drains: seed.is_multiple_of(2), waits: true, longest_us: 1_500_000 };
         Plans { terms, proxies: if seed.is_multiple_of(3) { 5 } else { 0 }, ..Plans::default() }
     }
 }
@@ -61,7 +61,7 @@
             calm_us: 300_000,
             ..Bounds::default()
         };
-        let terms = Terms { drains: false, waits: true, longest_us: 1_500_000 };
+        let terms = SendPolicy { drains: false, waits: true, longest_us: 1_500_000 };
         Plans { terms, backends: 12, zones: 3, bounds, proxies: 0, operators: true }
     }
 }
@@ -165,16 +165,16 @@
         self.upkeep.viewed_us = self.t;
         let calm = self.rng.u32(0..8) > 0;
         for at in 0..self.hosts.len() {
-            let mut view = View { queries: Coarse::of(20.0), ..View::default() };
+            let mut view = View { queries: Quantized::of(20.0), ..View::default() };
             if !calm && self.faulty() {
-                view.rejected = Coarse::of(5.0);
+                view.rejected = Quantized::of(5.0);
             }
             for number in 0..plans.backends {
                 let (zone, cell) = place(number, plans.zones);
                 let lost = self.faulty() && self.rng.u32(0..60) == 0;
                 let liar = self.upkeep.liar.filter(|(liar, _)| *liar == at).map(|(_, load)| load);
-                let (load, max) = (Coarse::of(liar.unwrap_or(0.2 + self.rng.f64())), Coarse::of(20.0));
-                view.backends.insert(format!("s-{number}"), Sees { zone, cell, load, max, lost });
+                let (load, max) = (Quantized::of(liar.unwrap_or(0.2 + self.rng.f64())), Quantized::of(20.0));
+                view.backends.insert(format!("s-{number}"), BackendView { zone, cell, load, max, lost });
             }
             if let Some(node) = self.hosts[at].node.as_mut().filter(|_| self.rng.u32(0..10) > 0) {
                 node.set_view(view);
--- a/crates/lab/src/world/upkeep/maintenance.rs
+++ b/crates/lab/src/world/upkeep/maintenance.rs
@@ -2,10 +2,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use crankpick_fleet::messages::Ask;
 use crankpick_fleet::node::WorkStart;
-use crankpick_fleet::order::Begin;
+use crankpick_fleet::scheduler::WorkStartRequest;
 use crankpick_fleet::state::{Command, Fleet};
-use crankpick_fleet::words::Ask;
 use crankpick_fleet::work::{Order, Say, Stage};
 
 use crate::world::World;
@@ -24,7 +24,7 @@
     due_us: u64,
     /// Who made it.
     from: usize,
-    call: Begin,
+    call: WorkStartRequest,
 }
 
 /// What staff or an operator have yet to be heard with.
@@ -58,7 +58,7 @@
 
 impl World {
     /// A call to begin work. Now and then it comes late, perhaps after another owner's, or not at all.
-    pub(in crate::world) fn begin_work(&mut self, from: usize, call: Begin) {
+    pub(in crate::world) fn begin_work(&mut self, from: usize, call: WorkStartRequest) {
         let late = if self.rng.u32(0..5) == 0 { self.rng.u64(0..3 * self.setup.lease_us) } else { CALL_US };
         let scripted = self.upkeep.maintenance.late_us;
         if self.rng.u32(0..10) > 0 || scripted.is_some() {
@@ -85,7 +85,7 @@
     }
 
     /// What the maintenance system makes of a call: an old owner's is refused, a repeated one is begun once.
-    fn work_start(&mut self, call: &Begin) -> WorkStart {
+    fn work_start(&mut self, call: &WorkStartRequest) -> WorkStart {
         let maintenance = &mut self.upkeep.maintenance;
         if call.token < maintenance.seen {
             maintenance.stale += 1;
@@ -192,6 +192,6 @@
 }
 
 fn stage(fleet: &Fleet, machine: &str) -> Stage {
-    let found = fleet.work.open().find_map(|(_, plan)| plan.machines.get(machine));
+    let found = fleet.work.open_plans().find_map(|(_, plan)| plan.machines.get(machine));
     found.map_or(Stage::Done, |machine| machine.stage)
 }
--- a/crates/lab/src/world/upkeep/script.rs
+++ b/crates/lab/src/world/upkeep/script.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use crankpick_fleet::words::WORK;
-use crankpick_fleet::work::{Is, Machine, Order, Plan, Say, Stage, Work};
+use crankpick_fleet::messages::WORK;
+use crankpick_fleet::work::{Machine, MachineKind, Order, Plan, Say, Stage, Work};
 
 use super::maintenance::Maintenance;
 use super::{place, Plans, LOOK_US};
@@ -30,13 +30,13 @@
         let mut machines = BTreeMap::new();
         for number in 0..plans.backends {
             let (zone, cell) = place(number, plans.zones);
-            machines.insert(format!("s-{number}"), Machine::new(Is::Backend, &zone, cell, false));
+            machines.insert(format!("s-{number}"), Machine::new(MachineKind::Backend, &zone, cell, false));
         }
         for number in 0..plans.proxies {
             let votes = number < self.setup.voters;
             let name = self.hosts[number].name.clone();
             // Each has a zone of its own: the bounds by zone are the backends'.
-            machines.insert(name.clone(), Machine::new(Is::Proxy, &name, 0, votes));
+            machines.insert(name.clone(), Machine::new(MachineKind::Proxy, &name, 0, votes));
         }
         Plan {
             why: "patches".into(),
--- a/crates/lab/tests/processes.rs
+++ b/crates/lab/tests/processes.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crankpick_carry::frames;
-use crankpick_fleet::words::{Who, Word};
+use crankpick_fleet::messages::{Message, ProcessId};
 use crankpick_lab::emulate::Nature;
 use crankpick_lab::owner::{self, Order};
 use crankpick_lab::rig::{program, Layout, Rig};
@@ -218,11 +218,11 @@
 async fn strangers_and_nonsense_at_a_voters_address_are_turned_away() {
     let rig = fleet("strangers", 3).await;
     let from = rig.seen();
-    let who = Who { name: "n1".into(), incarnation: u64::MAX };
-    let hello = Word::Hello { fleet: "other".into(), who: who.clone(), voter: true };
+    let who = ProcessId { name: "n1".into(), incarnation: u64::MAX };
+    let hello = Message::Hello { fleet: "other".into(), who: who.clone(), voter: true };
     let mut stranger = TcpStream::connect(rig.voter(0)).await.expect("it listens");
     stranger.write_all(&frames::framed(&hello).expect("short")).await.expect("open");
-    let release = Word::Release { duty: "outs".into(), token: 1, who };
+    let release = Message::Release { duty: "outs".into(), token: 1, who };
     let _ = stranger.write_all(&frames::framed(&release).expect("short")).await;
     let told = rig.wait(from, SOON, |seen| seen.code == "fleet_stranger").await.expect("it tells");
     assert_eq!((told.line["fleet"].as_str(), told.line["from"].as_str()), (Some("other"), Some("n1")));
--- a/crates/lab/tests/work_cases.rs
+++ b/crates/lab/tests/work_cases.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use crankpick_fleet::work::{Bounds, Is, Machine, Order, Plan, Say, Stage, Terms};
+use crankpick_fleet::work::{Bounds, Machine, MachineKind, Order, Plan, Say, SendPolicy, Stage};
 use crankpick_lab::world::{Plans, Setup, World};
 
 const LEASE: u64 = 1_000_000;
 const LONG: u64 = 90 * LEASE;
-const WAITS: Terms = Terms { drains: false, waits: true, longest_us: 1_500_000 };
-const DRAINS: Terms = Terms { drains: true, ..WAITS };
+const WAITS: SendPolicy = SendPolicy { drains: false, waits: true, longest_us: 1_500_000 };
+const DRAINS: SendPolicy = SendPolicy { drains: true, ..WAITS };
 
 fn world(seed: u64, plans: Plans) -> World {
     let plans = Plans { operators: false, ..plans };
@@ -194,11 +194,11 @@
     let mut world = world(11, Plans::default());
     until_at(&mut world, Stage::Agreed);
     let first = world.work().plans["patch"].clone();
-    let machines = BTreeMap::from([("s-4".to_owned(), Machine::new(Is::Backend, "z1", 1, false))]);
+    let machines = BTreeMap::from([("s-4".to_owned(), Machine::new(MachineKind::Backend, "z1", 1, false))]);
     world.say(Order::Add { name: "other".into(), plan: Box::new(Plan { machines, ..first.clone() }) });
     world.run_for(3 * LEASE);
     assert!(!world.work().plans.contains_key("other"));
-    let machines = BTreeMap::from([("t-1".to_owned(), Machine::new(Is::Backend, "z9", 1, false))]);
+    let machines = BTreeMap::from([("t-1".to_owned(), Machine::new(MachineKind::Backend, "z9", 1, false))]);
     world.say(Order::Add { name: "apart".into(), plan: Box::new(Plan { machines, ..first }) });
     assert!(world.until(LONG, |world| world.plan_over("apart") && world.plan_over("patch")));
     sound(&world);
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -11,9 +11,9 @@
 use crankpick_carry::file::{self, FleetFile};
 use crankpick_carry::plan_file::Draft;
 use crankpick_carry::run::{self, Call, Handle, Right};
-use crankpick_fleet::sight::{Coarse, Sees, View};
+use crankpick_fleet::messages::{Ask, Publication, Told};
+use crankpick_fleet::observation::{BackendView, Quantized, View};
 use crankpick_fleet::state::{Command, Outcome};
-use crankpick_fleet::words::{Ask, Publication, Told};
 use crankpick_fleet::work::{Order, Say};
 use serde_json::json;
 use tokio::sync::{oneshot, watch};
@@ -150,7 +150,7 @@
                     () = outs.in_flight.ended.notified() => outs.tell_busy(false),
                     _ = looks.tick() => {
                         if let Some(view) = sight.look(&outs) {
-                            outs.handle.tell(Call::Sees(view));
+                            outs.handle.tell(Call::View(view));
                         }
                     }
                 }
@@ -268,16 +268,17 @@
         let ids: BTreeMap<u32, (&String, &Listed)> =
             names.all().map(|(id, listed)| (listed.backend, (id, listed))).collect();
         let mut view = View {
-            queries: Coarse::of(seen.taken as f64 / seconds),
-            rejected: Coarse::of(seen.turned as f64 / seconds),
+            queries: Quantized::of(seen.taken as f64 / seconds),
+            rejected: Quantized::of(seen.turned as f64 / seconds),
             ..View::default()
         };
         for room in rooms.iter().filter(|room| room.ready) {
             let Some((id, _)) = ids.get(&room.backend) else { continue };
             let load = seen.loads.get(&room.backend).copied().unwrap_or(0.0) / looks;
             let zone = outs.zones.get(room.zone as usize).cloned().unwrap_or_default();
-            let (load, max) = (Coarse::of(load), Coarse::of(room.max));
-            view.backends.insert((*id).clone(), Sees { zone, cell: room.cell, load, max, lost: room.lost });
+            let (load, max) = (Quantized::of(load), Quantized::of(room.max));
+            view.backends
+                .insert((*id).clone(), BackendView { zone, cell: room.cell, load, max, lost: room.lost });
         }
         Some(view)
     }
--- a/crates/proxy/src/operate.rs
+++ b/crates/proxy/src/operate.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 
 use crankpick_carry::plan_file;
-use crankpick_fleet::sight::Sight;
-use crankpick_fleet::words::Status;
-use crankpick_fleet::work::{self, Bounds, Is, Plan};
+use crankpick_fleet::messages::Status;
+use crankpick_fleet::observation::FleetView;
+use crankpick_fleet::work::{self, Bounds, MachineKind, Plan};
 use serde_json::{json, Value};
 
 use crate::cli::{At, Backends, Fleet, Named, Work};
@@ -81,7 +81,7 @@
     Ok(if named.at.json { said } else { format!("agreed: {} {}", order.to_lowercase(), named.name) })
 }
 
-fn work(at: SocketAddr) -> Result<(work::Work, Sight), String> {
+fn work(at: SocketAddr) -> Result<(work::Work, FleetView), String> {
     serde_json::from_str(&call(at, "FLEET WORK SHOW")?).map_err(|wrong| format!("{at}: {wrong}"))
 }
 
@@ -130,8 +130,8 @@
     lines.push(format!("seen by {told} of {} proxies, {silent} silent", sight.proxies));
     for (id, machine) in &plan.machines {
         let place = match machine.is {
-            Is::Proxy => "proxy".to_owned(),
-            Is::Backend => format!("zone {} cell {}", machine.zone, machine.cell),
+            MachineKind::Proxy => "proxy".to_owned(),
+            MachineKind::Backend => format!("zone {} cell {}", machine.zone, machine.cell),
         };
         lines.push(format!("  {id} ({place}): {}; {}", machine.stage.name(), machine.why));
         lines.extend(sight.waits.get(id).into_iter().flatten().map(|why| format!("    waits: {why}")));
