--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -1,5 +1,6 @@
-//! A model of one duty, every order of its steps tried: two processes with the real `HeldLeases`, a receiver with
-//! the real `Fence`, a leader that changes, words that come late, twice or never, clocks that run unlike.
+//! Model check of one duty over every order of steps: two processes with the real `HeldLeases`, a receiver
+//! with the real `Fence`, a change of leaders, messages that are delayed, duplicated or lost, and clocks that
+//! drift.
 
 use crankpick_fleet::lease::{Fence, HeldLeases, Timing};
 use stateright::{Checker, Model, Property};
@@ -32,17 +33,17 @@
     /// How far each process's clock is behind the leader's.
     behind: [u64; 2],
     holding: [HeldLeases; 2],
-    /// Agreed: owner and token.
+    /// Committed state: owner and token.
     owner: usize,
     token: u64,
-    /// The leader's own: when it began, and the owner's last renewal.
+    /// The leader's own state: when it began to lead, and the owner's last renewal.
     since: u64,
     renewed: u64,
     changes: u8,
-    /// On their way; sorted, publications may be delivered any number of times.
-    words: Vec<Message>,
+    /// Messages in transit, sorted. Publications may be delivered any number of times.
+    in_transit: Vec<Message>,
     fence: Fence,
-    /// Tokens taken by the receiver, the last and the highest.
+    /// Tokens accepted by the receiver: the last and the highest.
     taken: (u64, u64),
     refused: bool,
 }
@@ -50,7 +51,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
     Tick,
-    /// A clock falls behind by one within a lease: what the margin is there for.
+    /// A clock falls behind by one unit within a lease, which the margin must absorb.
     Slow(usize),
     Renew(usize),
     Publish(usize),
@@ -74,10 +75,10 @@
         self.t - self.behind[of]
     }
 
-    fn say(&mut self, word: Message) {
-        if !self.words.contains(&word) {
-            self.words.push(word);
-            self.words.sort();
+    fn send(&mut self, packet: Message) {
+        if !self.in_transit.contains(&packet) {
+            self.in_transit.push(packet);
+            self.in_transit.sort();
         }
     }
 }
@@ -97,7 +98,7 @@
             since: 1,
             renewed: 1,
             changes: 0,
-            words: Vec::new(),
+            in_transit: Vec::new(),
             fence: Fence::default(),
             taken: (0, 0),
             refused: false,
@@ -109,20 +110,20 @@
             steps.push(Step::Tick);
         }
         for of in 0..2 {
-            // One clock is enough: the other may run as the leader's does.
+            // It suffices to slow one clock: the other may run at the leader's pace.
             if of == 0 && state.behind[of] == 0 && state.t > 1 {
                 steps.push(Step::Slow(of));
             }
-            if state.words.len() < 2 && state.owner == of {
+            if state.in_transit.len() < 2 && state.owner == of {
                 steps.push(Step::Renew(of));
             }
-            if state.words.len() < 2 && state.holding[of].token(state.clock(of), DUTY).is_some() {
+            if state.in_transit.len() < 2 && state.holding[of].token(state.clock(of), DUTY).is_some() {
                 steps.push(Step::Publish(of));
             }
         }
-        steps.extend(state.words.iter().cloned().map(Step::Deliver));
-        let last = state.renewed.max(state.since);
-        if state.t >= last + LEASE && state.token < 2 {
+        steps.extend(state.in_transit.iter().cloned().map(Step::Deliver));
+        let previous = state.renewed.max(state.since);
+        if state.t >= previous + LEASE && state.token < 2 {
             steps.push(Step::Grant);
         }
         if state.changes < 1 {
@@ -130,40 +131,44 @@
         }
     }
 
-    fn next_state(&self, last: &State, step: Step) -> Option<State> {
-        let mut state = last.clone();
+    fn next_state(&self, previous: &State, step: Step) -> Option<State> {
+        let mut state = previous.clone();
         match step {
             Step::Tick => state.t += 1,
             Step::Slow(of) => state.behind[of] += 1,
-            Step::Renew(from) => state.say(Message::Renew { from, sent: last.clock(from) }),
+            Step::Renew(from) => state.send(Message::Renew { from, sent: previous.clock(from) }),
             Step::Publish(of) => {
-                let token = last.holding[of].token(last.clock(of), DUTY)?;
-                state.say(Message::Publish { token });
+                let token = previous.holding[of].token(previous.clock(of), DUTY)?;
+                state.send(Message::Publish { token });
             }
             Step::Deliver(Message::Renew { from, sent }) => {
-                // The leader hears it now, whenever it was sent; one that is no owner is told nothing.
-                state.words.retain(|word| *word != Message::Renew { from, sent });
+                // The leader receives it now, whenever it was sent. A process that is not the owner gets no
+                // answer.
+                state.in_transit.retain(|packet| *packet != Message::Renew { from, sent });
                 if state.owner == from {
                     state.renewed = state.t;
-                    state.say(Message::Renewed { to: from, sent, token: last.token });
+                    state.send(Message::Renewed { to: from, sent, token: previous.token });
                 }
             }
             Step::Deliver(Message::Renewed { to, sent, token }) => {
-                state.words.retain(|word| *word != Message::Renewed { to, sent, token });
-                let now = last.clock(to);
+                state.in_transit.retain(|packet| *packet != Message::Renewed { to, sent, token });
+                let now = previous.clock(to);
                 state.holding[to].renew(now, DUTY, token, sent, &self.times());
             }
             Step::Deliver(Message::Publish { token }) => match state.fence.accept(token) {
-                Ok(()) => state.taken = (token, token.max(last.taken.1)),
+                Ok(()) => state.taken = (token, token.max(previous.taken.1)),
                 Err(_) => state.refused = true,
             },
             Step::Grant => {
-                (state.owner, state.token, state.renewed) = (1 - last.owner, last.token + 1, last.t);
+                (state.owner, state.token, state.renewed) =
+                    (1 - previous.owner, previous.token + 1, previous.t);
+            }
+            // A new leader knows the committed state but no renewals.
+            Step::Leader => {
+                (state.since, state.renewed, state.changes) = (previous.t, 0, previous.changes + 1)
             }
-            // Another leads: it knows the agreed state, and of no renewals.
-            Step::Leader => (state.since, state.renewed, state.changes) = (last.t, 0, last.changes + 1),
         }
-        (state != *last).then_some(state)
+        (state != *previous).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
@@ -172,9 +177,11 @@
                 let owns = |of: usize| state.holding[of].token(state.clock(of), DUTY).is_some();
                 !(owns(0) && owns(1))
             }),
-            Property::<Self>::always("no stale effect taken", |_, state| state.taken.0 == state.taken.1),
-            Property::<Self>::sometimes("a stale word is refused", |_, state| state.refused),
-            Property::<Self>::sometimes("both own in turn", |_, state| state.taken.0 == 2),
+            Property::<Self>::always("no stale publication is accepted", |_, state| {
+                state.taken.0 == state.taken.1
+            }),
+            Property::<Self>::sometimes("a stale publication is refused", |_, state| state.refused),
+            Property::<Self>::sometimes("both own the duty in turn", |_, state| state.taken.0 == 2),
             Property::<Self>::sometimes("a second owner follows a change of leaders", |_, state| {
                 state.changes > 0
                     && state.token == 2
@@ -192,7 +199,7 @@
     assert!(checker.unique_state_count() > 1_000);
 }
 
-/// The margin is what unlike clocks are borne by: without it the model finds two owners.
+/// The margin is what absorbs clock drift: without it the model finds two owners.
 #[test]
 fn without_the_margin_two_owners_are_found() {
     let checker = Duty { margin: 0 }.checker().threads(2).spawn_bfs().join();
--- a/crates/fleet/tests/order.rs
+++ b/crates/fleet/tests/order.rs
@@ -1,4 +1,5 @@
-//! Who goes next, from words alone: no fleet, no log but the state itself.
+//! Scheduling decisions from aggregated observations alone: no processes, and no log but the plans
+//! themselves.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -71,18 +72,18 @@
     steps.unwrap_or_default()
 }
 
-fn went(all: &[Step], to: Stage) -> Vec<&str> {
+fn machines_moved(all: &[Step], to: Stage) -> Vec<&str> {
     all.iter().filter(|step| step.to == to).map(|step| step.machine.as_str()).collect()
 }
 
 fn waits(all: &[Action]) -> String {
-    let said =
+    let reported =
         all.iter().find_map(|one| if let Action::Waits { why, .. } = one { Some(why.clone()) } else { None });
-    said.unwrap_or_default()
+    reported.unwrap_or_default()
 }
 
-/// Applies what is settled until nothing more is, proxies confirming each leaving at once.
-fn carry(work: &mut Work, sight: &mut FleetView, owner: &mut Owner, now_us: u64) {
+/// Applies all steps until no more are decided; proxies confirm each leaving machine at once.
+fn apply_all(work: &mut Work, sight: &mut FleetView, owner: &mut Owner, now_us: u64) {
     for _ in 0..20 {
         let all = work.open_plans().flat_map(|(_, plan)| &plan.machines);
         let leaving = all.filter(|(_, one)| one.stage == Stage::Leaving).map(|(id, _)| (id.clone(), vec![]));
@@ -103,13 +104,14 @@
     for most_out in 1..=4 {
         let work = work(plan(Bounds { most_out, ..Bounds::default() }, &machines));
         let settled = steps(next(&mut Owner::default(), 0, &work, &sight));
-        // Zone b has room for one and then for a second; the third would leave less than half as much again.
+        // Zone b has capacity to spare for one and then for a second; a third would leave less than 1.5 times
+        // the demand.
         let first = ["b-3", "b-1", "a-1", "b-2"];
         let first = &first[..most_out as usize];
-        let went = went(&settled, Stage::Agreed);
+        let machines_moved = machines_moved(&settled, Stage::Agreed);
         assert_eq!(
-            went.iter().collect::<BTreeSet<_>>(),
-            first.iter().take(went.len()).collect(),
+            machines_moved.iter().collect::<BTreeSet<_>>(),
+            first.iter().take(machines_moved.len()).collect(),
             "{most_out}"
         );
         assert!(settled[0].why.contains("times the need left"), "{:?}", settled[0]);
@@ -130,7 +132,7 @@
     let (mut sight, mut owner) = (sight(&full), Owner::default());
     let (mut now_us, mut most) = (0, 0);
     while work.open_plans().next().is_some() {
-        carry(&mut work, &mut sight, &mut owner, now_us);
+        apply_all(&mut work, &mut sight, &mut owner, now_us);
         let count = work.count();
         assert!(count.all <= 5 && count.cold <= 1, "{count:?}");
         assert!(count.zones.values().all(|out| *out <= 2) && count.cells.values().all(|out| *out <= 1));
@@ -160,15 +162,15 @@
     ];
     let machines = [("a", "z", 0), ("b", "z", 0), ("c", "z", 0), ("d", "z", 0)];
     let bounds = Bounds { most_out: 2, ..Bounds::default() };
-    type Ill = fn(&mut FleetView);
-    let ills: [(&str, Ill); 5] = [
+    type Disturbance = fn(&mut FleetView);
+    let troubles: [(&str, Disturbance); 5] = [
         ("are silent", |sight| (sight.in_touch, sight.told) = (2, 2)),
         ("are turned away", |sight| sight.rejected = 20.0),
         ("of the need", |sight| sight.backends.values_mut().for_each(|one| one.load = 19.0)),
         ("died beside", |sight| sight.backends.get_mut("d").expect("there").lost_by = 4),
         ("have told what they see", |sight| sight.told = 1),
     ];
-    for (why, ill) in ills {
+    for (why, disturb) in troubles {
         let (mut work, mut owner, mut seen) =
             (work(plan(bounds.clone(), &machines)), Owner::default(), sight(&full));
         for _ in 0..2 {
@@ -178,20 +180,20 @@
         }
         let leaving = work.outs();
         assert_eq!(leaving.len(), 2);
-        ill(&mut seen);
+        disturb(&mut seen);
         let all = next(&mut owner, 3 * S, &work, &seen);
         assert!(waits(&all).contains(why), "{why}: {}", waits(&all));
         let back = steps(all);
         match why {
-            // No words yet from a new leader's proxies: nobody is called back for that.
+            // A new leader's proxies have not reported yet: no machine is called back for that.
             "have told what they see" => assert!(back.is_empty(), "{back:?}"),
             _ => {
-                assert_eq!(went(&back, Stage::Proposed).len(), 2, "{why}: {back:?}");
+                assert_eq!(machines_moved(&back, Stage::Proposed).len(), 2, "{why}: {back:?}");
                 assert!(back.iter().all(|step| step.why.contains("called back")));
             }
         }
-        assert!(went(&back, Stage::Agreed).is_empty());
-        // Under work it stays out whatever comes.
+        assert!(machines_moved(&back, Stage::Agreed).is_empty());
+        // A machine under work stays out in any case.
         let mut kept = work.clone();
         kept.plans.get_mut("p").expect("there").machines.values_mut().for_each(|one| {
             if one.stage == Stage::Leaving {
@@ -220,8 +222,8 @@
     seen.objections.clear();
     seen.considered = 0;
     let late = steps(next(&mut owner, 13 * S, &work, &seen));
-    // Nobody need be waited for who does not look: not for ever.
-    assert_eq!(went(&late, Stage::Leaving), ["a"]);
+    // A proxy that does not consider the machine is not waited for indefinitely.
+    assert_eq!(machines_moved(&late, Stage::Leaving), ["a"]);
 }
 
 #[test]
@@ -242,7 +244,7 @@
     }
 }
 
-/// From drawn words of any kind: no step that the log would refuse, and the same words settle the same.
+/// With random observations: every step is accepted by the log, and equal input gives equal decisions.
 #[test]
 fn whatever_the_words_say_the_log_takes_each_step_and_bounds_hold() {
     for seed in 0..300 {
@@ -263,9 +265,9 @@
         let machines: Vec<(&str, &str, u32)> =
             names.iter().zip(&places).map(|(id, (zone, cell))| (id.as_str(), zone.as_str(), *cell)).collect();
         let mut work = work(plan(bounds.clone(), &machines));
-        let (mut owner, mut twin) = (Owner::default(), Owner::default());
+        let (mut owner, mut second_owner) = (Owner::default(), Owner::default());
         for turn in 0..60 {
-            let mut words = sight(&[]);
+            let mut observations = sight(&[]);
             for (id, (zone, cell)) in names.iter().zip(&places) {
                 if rng.u32(0..10) == 0 {
                     continue;
@@ -279,18 +281,18 @@
                     by: 4,
                     lost_by: rng.u32(0..4),
                 };
-                words.backends.insert(id.clone(), one);
+                observations.backends.insert(id.clone(), one);
             }
-            (words.in_touch, words.told) = (rng.u32(2..5), rng.u32(1..5));
-            words.rejected = rng.f64() * 8.0;
+            (observations.in_touch, observations.told) = (rng.u32(2..5), rng.u32(1..5));
+            observations.rejected = rng.f64() * 8.0;
             let all = work.open_plans().flat_map(|(_, plan)| &plan.machines);
             let leaving = all.filter(|(_, one)| one.stage == Stage::Leaving && rng.bool());
-            words.waits = leaving.map(|(id, _)| (id.clone(), vec![])).collect();
+            observations.waits = leaving.map(|(id, _)| (id.clone(), vec![])).collect();
             let now_us = turn * S;
-            let settled = next(&mut owner, now_us, &work, &words);
-            assert_eq!(settled, next(&mut twin, now_us, &work, &words), "seed {seed}");
+            let settled = next(&mut owner, now_us, &work, &observations);
+            assert_eq!(settled, next(&mut second_owner, now_us, &work, &observations), "seed {seed}");
             for step in steps(settled) {
-                // A late owner's is refused by the log, though nothing has changed since.
+                // The log refuses a step with an older token, even if nothing else has changed.
                 assert!(work
                     .clone()
                     .apply_step(&Step { token: TOKEN - 1, ..step.clone() }, TOKEN, 3)
@@ -300,7 +302,7 @@
                 assert!(
                     count.all <= most_out && count.zones.values().all(|out| *out <= bounds.most_out_zone)
                 );
-                // So is one that is meant for an earlier time out.
+                // It refuses a step that is meant for an earlier revision of the machine.
                 assert!(work.clone().apply_step(&step, TOKEN, 3).is_err());
             }
             let working = work.open_plans().flat_map(|(_, plan)| &plan.machines);
@@ -315,7 +317,7 @@
     }
 }
 
-/// What the log itself refuses, whatever an owner believes.
+/// Steps that the log itself refuses, whatever the owner decided.
 #[test]
 fn the_log_refuses_old_tokens_old_times_out_cold_crowds_and_steps_of_no_owner() {
     let bounds = Bounds { most_out: 3, most_out_zone: 2, most_cold: 1, ..Bounds::default() };
@@ -333,7 +335,7 @@
     work.apply_step(&first, TOKEN, 3).expect("sound");
     let back = step(&work, "a", Stage::Proposed);
     work.apply_step(&back, TOKEN, 3).expect("nobody works there");
-    // Proposed again: a step that was meant for the first time is none for the second.
+    // Proposed again: a step meant for the first time is not valid for the second.
     assert!(work.apply_step(&first, TOKEN, 3).unwrap_err().contains("by now"));
     for to in [Stage::Leaving, Stage::Out, Stage::Working, Stage::Done, Stage::Cancelled] {
         let skipped = step(&work, "a", to);
@@ -348,7 +350,7 @@
             let on = step(&work, id, to);
             work.apply_step(&on, TOKEN, 3).expect("in order");
         }
-        // Begun, it is called back by nobody; and only an operator ends it.
+        // Once work has started, the machine cannot be called back, and only an operator can end the work.
         for to in [Stage::Proposed, Stage::Mended, Stage::Back, Stage::Cancelled] {
             let wrong = step(&work, id, to);
             assert!(work.apply_step(&wrong, TOKEN, 3).is_err(), "{}", to.name());
@@ -358,7 +360,7 @@
     let (a, b) = (step(&work, "a", Stage::Back), step(&work, "b", Stage::Back));
     work.apply_step(&a, TOKEN, 3).expect("the first");
     assert!(work.apply_step(&b, TOKEN, 3).unwrap_err().contains("cold"));
-    // Of three voters one may be away.
+    // Of three voters, one may be out.
     let mut both = plan(Bounds { most_out: 3, ..Bounds::default() }, &[("v1", "v1", 0), ("v2", "v2", 0)]);
     both.machines.values_mut().for_each(|one| (one.is, one.votes) = (MachineKind::Proxy, true));
     let mut work = self::work(both);
--- a/crates/fleet/tests/proof.rs
+++ b/crates/fleet/tests/proof.rs
@@ -1,4 +1,4 @@
-//! When a machine counts as out, from the leader's side and from the proxy's: words and clocks alone.
+//! When a machine counts as out, from the leader's and the proxy's point of view: messages and clocks alone.
 
 use std::collections::BTreeSet;
 
@@ -20,7 +20,8 @@
     ProcessId { name: name.into(), incarnation: 1 }
 }
 
-/// Machine "m", or proxy "n1", leaves under version 1, with these in the record; the first owns the work.
+/// A fleet with these proxies in which machine "m", or proxy "n1", is leaving under version 1. The first
+/// proxy owns the work duty.
 fn leaving(is: MachineKind, proxies: &[(&str, SendPolicy)]) -> Fleet {
     let mut fleet = Fleet::default();
     let name = if is == MachineKind::Backend { "m" } else { "n1" };
@@ -68,60 +69,61 @@
 }
 
 struct Waiting {
-    lead: LeaderState<()>,
+    leader: LeaderState<()>,
     fleet: Fleet,
     times: Timing,
 }
 
 impl Waiting {
     fn new(fleet: Fleet) -> Self {
-        let mut waiting = Waiting { lead: LeaderState::new("v0", 1, 0), fleet, times: Timing::new(LEASE) };
-        // The leader learns of it at time 0.
-        waiting.lead.fleet_view(0, &waiting.fleet, &waiting.times);
+        let mut waiting = Waiting { leader: LeaderState::new("v0", 1, 0), fleet, times: Timing::new(LEASE) };
+        // The leader learns of the leaving machine at time 0.
+        waiting.leader.fleet_view(0, &waiting.fleet, &waiting.times);
         waiting
     }
 
-    fn hear(&mut self, at_us: u64, renewal: Renewal) {
-        self.lead.record_renewal(at_us, renewal, ());
+    fn receive(&mut self, at_us: u64, renewal: Renewal) {
+        self.leader.record_renewal(at_us, renewal, ());
     }
 
-    fn for_what(&self, now_us: u64) -> Vec<String> {
+    fn waits_for(&self, now_us: u64) -> Vec<String> {
         let (id, machine) = self.fleet.work.plans["p"].machines.first_key_value().expect("one");
-        self.lead.waits(now_us, id, machine, &self.fleet, &self.times)
+        self.leader.waits(now_us, id, machine, &self.fleet, &self.times)
     }
 }
 
 #[test]
 fn each_proxy_must_act_have_nothing_in_hand_and_be_unable_to_forget() {
-    let mut one = Waiting::new(leaving(MachineKind::Backend, &[("a", WAITS), ("b", SERVES)]));
-    assert_eq!(one.for_what(60 * LEASE), ["a was not heard of", "b was not heard of"]);
-    one.hear(1, renewal("a", WAITS, 0, 0, &[]));
-    one.hear(1, renewal("b", SERVES, 1, 0, &["m"]));
-    assert_eq!(one.for_what(2), ["a has yet to act on version 1", "b has something in hand there"]);
-    one.hear(3, renewal("a", WAITS, 1, 0, &["other"]));
-    one.hear(3, renewal("b", SERVES, 1, 0, &[]));
-    // It would start by its own disk without asking: what is not written there does not count.
-    assert_eq!(one.for_what(4), ["b has yet to write version 1 to its disk"]);
-    one.hear(5, renewal("b", SERVES, 1, 1, &[]));
-    assert!(one.for_what(6).is_empty());
-    // Silent from now on: it can't send there any more, whatever becomes of it.
-    assert!(one.for_what(90 * LEASE).is_empty());
-    // An older process of an upgrade counts as long as it is heard.
+    let mut waiting = Waiting::new(leaving(MachineKind::Backend, &[("a", WAITS), ("b", SERVES)]));
+    assert_eq!(waiting.waits_for(60 * LEASE), ["a was not heard of", "b was not heard of"]);
+    waiting.receive(1, renewal("a", WAITS, 0, 0, &[]));
+    waiting.receive(1, renewal("b", SERVES, 1, 0, &["m"]));
+    assert_eq!(waiting.waits_for(2), ["a has yet to act on version 1", "b has something in hand there"]);
+    waiting.receive(3, renewal("a", WAITS, 1, 0, &["other"]));
+    waiting.receive(3, renewal("b", SERVES, 1, 0, &[]));
+    // This proxy would start from its own disk without asking, so a version that is not on its disk does not
+    // count.
+    assert_eq!(waiting.waits_for(4), ["b has yet to write version 1 to its disk"]);
+    waiting.receive(5, renewal("b", SERVES, 1, 1, &[]));
+    assert!(waiting.waits_for(6).is_empty());
+    // Silent from now on: it cannot send to the machine any more, whatever happens to it.
+    assert!(waiting.waits_for(90 * LEASE).is_empty());
+    // The older process of an upgrade counts as long as it is heard from.
     let mut older = renewal("a", WAITS, 0, 0, &[]);
     older.who.incarnation = 0;
-    one.hear(7, older);
-    assert_eq!(one.for_what(8), ["a has yet to act on version 1 (a.0)"]);
+    waiting.receive(7, older);
+    assert_eq!(waiting.waits_for(8), ["a has yet to act on version 1 (a.0)"]);
 }
 
 #[test]
 fn who_drains_itself_is_shut_out_after_a_lease_and_its_longest_execution() {
-    let mut one = Waiting::new(leaving(MachineKind::Backend, &[("a", DRAINS)]));
-    one.hear(1, renewal("a", DRAINS, 0, 0, &[]));
-    assert_eq!(one.for_what(LEASE + LONGEST - 1).len(), 1);
-    assert!(one.for_what(LEASE + LONGEST).is_empty());
-    // In touch and busy there, it is waited for all the same.
-    one.hear(2, renewal("a", DRAINS, 1, 1, &["m"]));
-    assert_eq!(one.for_what(9 * LEASE), ["a has something in hand there"]);
+    let mut waiting = Waiting::new(leaving(MachineKind::Backend, &[("a", DRAINS)]));
+    waiting.receive(1, renewal("a", DRAINS, 0, 0, &[]));
+    assert_eq!(waiting.waits_for(LEASE + LONGEST - 1).len(), 1);
+    assert!(waiting.waits_for(LEASE + LONGEST).is_empty());
+    // A proxy that is in contact and busy is waited for nevertheless.
+    waiting.receive(2, renewal("a", DRAINS, 1, 1, &["m"]));
+    assert_eq!(waiting.waits_for(9 * LEASE), ["a has something in hand there"]);
 }
 
 #[test]
@@ -135,25 +137,25 @@
     ] {
         let mut fleet = leaving(MachineKind::Backend, &[("a", terms)]);
         fleet.apply(Command::Leave(vec![(who("a"), parted)]));
-        let mut one = Waiting::new(fleet);
-        let told = one.for_what(LEASE + LONGEST);
+        let mut waiting = Waiting::new(fleet);
+        let told = waiting.waits_for(LEASE + LONGEST);
         assert_eq!(told.join(""), waits, "{terms:?} {parted}");
-        one.fleet.apply(Command::Work { id: 2, order: Order::Forget { name: "a".into() } });
-        assert!(one.for_what(LEASE + LONGEST).is_empty());
+        waiting.fleet.apply(Command::Work { id: 2, order: Order::Forget { name: "a".into() } });
+        assert!(waiting.waits_for(LEASE + LONGEST).is_empty());
     }
 }
 
 #[test]
 fn a_proxy_has_gone_once_it_owns_nothing_and_has_nothing_in_hand() {
-    let mut one = Waiting::new(leaving(MachineKind::Proxy, &[("n1", WAITS)]));
-    let mut word = renewal("n1", WAITS, 1, 1, &[]);
-    word.seen.drained = true;
-    one.hear(1, word);
-    assert_eq!(one.for_what(2), ["n1 has yet to hand over what it owns or leads"]);
-    one.fleet.apply(Command::Release { duty: WORK.into(), token: 1 });
-    assert!(one.for_what(3).is_empty());
-    one.hear(4, renewal("n1", WAITS, 1, 1, &[]));
-    assert_eq!(one.for_what(5), ["n1 has yet to answer what it has in hand"]);
+    let mut waiting = Waiting::new(leaving(MachineKind::Proxy, &[("n1", WAITS)]));
+    let mut report = renewal("n1", WAITS, 1, 1, &[]);
+    report.seen.drained = true;
+    waiting.receive(1, report);
+    assert_eq!(waiting.waits_for(2), ["n1 has yet to hand over what it owns or leads"]);
+    waiting.fleet.apply(Command::Release { duty: WORK.into(), token: 1 });
+    assert!(waiting.waits_for(3).is_empty());
+    waiting.receive(4, renewal("n1", WAITS, 1, 1, &[]));
+    assert_eq!(waiting.waits_for(5), ["n1 has yet to answer what it has in hand"]);
 }
 
 fn answer(sent_us: u64, version: u64) -> Renewed {
@@ -172,7 +174,8 @@
     }
 }
 
-/// Counted from the sending, less the margin, and only by answers that tell of nothing it has yet to act on.
+/// The permission counts from the sending of the renewal, less the margin, and is extended only by answers
+/// whose version has been applied.
 #[test]
 fn the_right_to_send_ends_before_the_fleet_counts_on_it() {
     let times = Timing::new(LEASE);
@@ -185,7 +188,7 @@
     assert_eq!(session.send_until_us(), 100 + LEASE - times.margin_us, "version 1 is not acted on");
     session.record_applied(2_100, 1, BTreeSet::new());
     assert_eq!(session.send_until_us(), 1_500 + LEASE - times.margin_us);
-    // An older answer shortens nothing.
+    // An older answer does not shorten it.
     session.handle_answer(2_200, answer(1_000, 1));
     assert_eq!(session.send_until_us(), 1_500 + LEASE - times.margin_us);
     let mut waits = Session::new(who("a"), times, None);
