--- a/crates/carry/src/file.rs
+++ b/crates/carry/src/file.rs
@@ -1,5 +1,5 @@
-//! The operators' own file for the fleet: read whole, checked whole, refused with file, line and reason.
-//! Called by the proxy at its start and by `crankpick check`.
+//! The fleet's configuration file: read and validated as a whole; errors name the file, the line and the
+//! reason. Used by the proxy at start and by `crankpick check`.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,13 +11,14 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-const LEASE_US: u64 = 3_000_000;
-const WAIT_US: u64 = 1_000_000;
-/// Below, a lease would run out over an ordinary pause of a busy machine; above, nobody would wait for it.
-const LEASES: std::ops::RangeInclusive<u64> = 200_000..=600_000_000;
-const MOST_WAIT_US: u64 = 60_000_000;
-/// Voters: more make each word dearer and survive little more.
-const MOST_VOTERS: usize = 7;
+const DEFAULT_LEASE_US: u64 = 3_000_000;
+const DEFAULT_WAIT_US: u64 = 1_000_000;
+/// Below this range, a lease would expire during an ordinary pause of a busy machine; above, failover would
+/// take too long.
+const LEASE_RANGE_US: std::ops::RangeInclusive<u64> = 200_000..=600_000_000;
+const MAX_WAIT_US: u64 = 60_000_000;
+/// Maximum number of voters: more of them make each message more expensive and tolerate few more failures.
+const MAX_VOTERS: usize = 7;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -26,7 +27,7 @@
     address: Spanned<SocketAddr>,
 }
 
-/// What a proxy does that has heard nobody for a lease.
+/// What a proxy does after a lease without contact to the fleet.
 #[derive(Clone, Copy, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum CutOff {
@@ -52,13 +53,13 @@
     voters: Vec<Voter>,
 }
 
-/// A sound file.
+/// A valid file.
 #[derive(Clone, Debug)]
 pub struct FleetFile {
     pub plan: Plan,
-    /// Where this process listens for others, if it is a voter.
+    /// Where this process listens for other processes, if it is a voter.
     pub listen: Option<SocketAddr>,
-    /// The voters' addresses, in the plan's order.
+    /// The voters' addresses, in the same order as `Plan::voters`.
     pub voters: Vec<SocketAddr>,
     pub state: Option<PathBuf>,
     /// How long a start waits for the version in force.
@@ -68,42 +69,43 @@
     pub history: bool,
 }
 
-fn sound_name(name: &str) -> bool {
-    let fit = |byte: u8| byte.is_ascii_alphanumeric() || b"-_".contains(&byte);
-    (1..=64).contains(&name.len()) && name.bytes().all(fit)
+fn is_valid_name(name: &str) -> bool {
+    let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_".contains(&byte);
+    (1..=64).contains(&name.len()) && name.bytes().all(allowed)
 }
 
-/// `own` is the name that the process goes by elsewhere, for a file that all proxies share.
+/// Reads and validates the file. `own` is the process's name from elsewhere, for a file shared by all
+/// proxies.
 pub fn read(path: &Path, own: Option<&str>) -> Result<FleetFile, String> {
-    let text = std::fs::read_to_string(path).map_err(|wrong| format!("{}: {wrong}", path.display()))?;
+    let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
     let line = |at: usize| text[..at.min(text.len())].matches('\n').count() + 1;
-    let read = toml::from_str::<Text>(&text).map_err(|wrong| {
-        let at = wrong.span().map_or(1, |span| line(span.start));
-        (at, wrong.message().replace('\n', ", "))
+    let parsed = toml::from_str::<Text>(&text).map_err(|error| {
+        let at = error.span().map_or(1, |span| line(span.start));
+        (at, error.message().replace('\n', ", "))
     });
-    let checked = read.and_then(|file| checked(file, own).map_err(|(at, why)| (line(at), why)));
-    checked.map_err(|(line, why)| format!("{}:{line}: {why}", path.display()))
+    let validated = parsed.and_then(|file| validate(file, own).map_err(|(at, why)| (line(at), why)));
+    validated.map_err(|(line, why)| format!("{}:{line}: {why}", path.display()))
 }
 
-fn checked(text: Text, own: Option<&str>) -> Result<FleetFile, (usize, String)> {
+fn validate(text: Text, own: Option<&str>) -> Result<FleetFile, (usize, String)> {
     let at = |place: std::ops::Range<usize>, why: String| Err((place.start, why));
-    if !sound_name(text.fleet.get_ref()) {
+    if !is_valid_name(text.fleet.get_ref()) {
         return at(text.fleet.span(), "fleet: 1 to 64 of letters, digits, - and _".into());
     }
-    let (name, named) = match (&text.name, own) {
+    let (name, name_span) = match (&text.name, own) {
         (Some(name), _) => (name.get_ref().clone(), name.span()),
         (None, Some(own)) => (own.to_owned(), 0..0),
         (None, None) => return at(0..0, "no name: give one here, or in the configuration".into()),
     };
-    if !sound_name(&name) {
-        return at(named, format!("name {name:?}: 1 to 64 of letters, digits, - and _"));
+    if !is_valid_name(&name) {
+        return at(name_span, format!("name {name:?}: 1 to 64 of letters, digits, - and _"));
     }
     if text.voters.is_empty() {
         return at(0..0, "no voters: name 3 or 5 as [[voters]]".into());
     }
     let (mut names, mut addresses) = (BTreeSet::new(), BTreeSet::new());
     for voter in &text.voters {
-        if !sound_name(voter.name.get_ref()) {
+        if !is_valid_name(voter.name.get_ref()) {
             return at(voter.name.span(), "a voter's name: 1 to 64 of letters, digits, - and _".into());
         }
         if !names.insert(voter.name.get_ref()) {
@@ -117,41 +119,48 @@
     if text.voters.len().is_multiple_of(2) {
         return at(
             last,
-            format!("{} voters: an even number survives no more than one less", text.voters.len()),
+            format!("{} voters: an even number tolerates no more failures than one less", text.voters.len()),
         );
     }
-    if text.voters.len() > MOST_VOTERS {
-        return at(last, format!("{} voters: {MOST_VOTERS} at most", text.voters.len()));
+    if text.voters.len() > MAX_VOTERS {
+        return at(last, format!("{} voters: {MAX_VOTERS} at most", text.voters.len()));
     }
     let seat = text.voters.iter().find(|voter| *voter.name.get_ref() == name);
     if let (Some(listen), None) = (&text.listen, seat) {
         return at(listen.span(), format!("listens, but {name:?} is not among the voters"));
     }
     if seat.is_some() && text.state.is_none() {
-        return at(named, format!("{name:?} is a voter and has no folder: give state"));
+        return at(name_span, format!("{name:?} is a voter and has no folder: give state"));
     }
-    let lease_us = text.lease_us.as_ref().map_or(LEASE_US, |lease| *lease.get_ref());
+    let lease_us = text.lease_us.as_ref().map_or(DEFAULT_LEASE_US, |lease| *lease.get_ref());
     let lease_at = text.lease_us.as_ref().map_or(0..0, Spanned::span);
-    if !LEASES.contains(&lease_us) {
-        return at(lease_at, format!("lease_us {lease_us}: from {} to {}", LEASES.start(), LEASES.end()));
+    if !LEASE_RANGE_US.contains(&lease_us) {
+        return at(
+            lease_at,
+            format!("lease_us {lease_us}: from {} to {}", LEASE_RANGE_US.start(), LEASE_RANGE_US.end()),
+        );
     }
     let mut times = Timing::new(lease_us);
     if let Some(renew) = &text.renew_us {
         times.renew_us = *renew.get_ref();
         if times.renew_us == 0 || times.renew_us.saturating_mul(3) > lease_us {
-            let why = format!("renew_us {}: a lease of {lease_us} is shorter than three", times.renew_us);
+            let why = format!(
+                "renew_us {}: a lease of {lease_us} is shorter than three renewal intervals",
+                times.renew_us
+            );
             return at(renew.span(), why);
         }
     }
-    let wait_us = text.wait_us.as_ref().map_or(WAIT_US, |wait| *wait.get_ref());
-    if wait_us > MOST_WAIT_US {
-        return at(text.wait_us.map_or(0..0, |wait| wait.span()), format!("wait_us: {MOST_WAIT_US} at most"));
+    let wait_us = text.wait_us.as_ref().map_or(DEFAULT_WAIT_US, |wait| *wait.get_ref());
+    if wait_us > MAX_WAIT_US {
+        return at(text.wait_us.map_or(0..0, |wait| wait.span()), format!("wait_us: {MAX_WAIT_US} at most"));
     }
     let drains = text.when_cut_off == Some(CutOff::Drain);
-    let unheard = text.serve_unheard.as_ref().map_or(!drains, |unheard| *unheard.get_ref());
-    if drains && unheard {
-        let why = "serve_unheard: one that turns unready when it is cut off can't serve before it is heard";
-        return at(text.serve_unheard.map_or(0..0, |unheard| unheard.span()), why.into());
+    let serves_unheard =
+        text.serve_unheard.as_ref().map_or(!drains, |serves_unheard| *serves_unheard.get_ref());
+    if drains && serves_unheard {
+        let why = "serve_unheard: a proxy that drains when it is cut off must not serve before it has heard the fleet";
+        return at(text.serve_unheard.map_or(0..0, |serves_unheard| serves_unheard.span()), why.into());
     }
     Ok(FleetFile {
         listen: text.listen.map(Spanned::into_inner).or_else(|| seat.map(|voter| *voter.address.get_ref())),
@@ -161,7 +170,7 @@
             voters: text.voters.iter().map(|voter| voter.name.get_ref().clone()).collect(),
             name,
             times,
-            terms: SendPolicy { drains, waits: !unheard, longest_us: 0 },
+            terms: SendPolicy { drains, waits: !serves_unheard, longest_us: 0 },
         },
         state: text.state.map(Spanned::into_inner),
         wait_us,
--- a/crates/carry/src/lib.rs
+++ b/crates/carry/src/lib.rs
@@ -1,5 +1,5 @@
-//! Carries a process's part in the fleet: its file, its disk, its connections, and the thread all of that
-//! runs on, apart from the one that serves queries. Called by the proxy where a fleet file is named.
+//! Runs a process's part in the fleet: its configuration file, its disk, its connections, and the thread for
+//! all of them, separate from the one that serves queries. Used by the proxy if a fleet file is configured.
 
 pub mod clock;
 pub mod file;
--- a/crates/carry/src/links.rs
+++ b/crates/carry/src/links.rs
@@ -1,5 +1,5 @@
-//! The connections of a process of the fleet: those it opens to voters and those it accepts. Called by `run`;
-//! each hands what it hears to the one loop there, and loses what it can't say in time, as any network may.
+//! The connections of a process of the fleet: outgoing ones to voters, and accepted ones. Used by `run`. Each
+//! passes what it receives to the event loop there, and drops what it cannot send in time, as a network may.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,35 +18,36 @@
 
 use crate::frames;
 
-/// Frames that wait to be written on one connection; past it they are lost.
-const MOST_WAITING: usize = 256;
-/// Connections accepted at a time.
-const MOST_CONNS: usize = 4_096;
-/// Beats in a row with nothing between them, after which a connection is no longer worth them.
-const MOST_IDLE: u32 = 40;
-const CONNECT: Duration = Duration::from_secs(1);
-const AGAIN: Duration = Duration::from_millis(100);
-const PAUSE: Duration = Duration::from_millis(20);
+/// Maximum number of frames queued on one connection; further ones are dropped.
+const MAX_QUEUED_FRAMES: usize = 256;
+/// Maximum number of connections at a time.
+const MAX_CONNECTIONS: usize = 4_096;
+/// An outgoing connection is closed after this many keepalives in a row without other traffic.
+const MAX_IDLE_KEEPALIVES: u32 = 40;
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-pub enum Heard {
+pub enum LinkEvent {
     Message(Link, Box<Message>),
     Closed(Link),
 }
 
-/// A connection's end of the queue to be written, and the task that lives for it.
-struct Open {
+/// The sending end of a connection's queue, and the connection's task.
+struct Connection {
     frames: Sender<Vec<u8>>,
     task: AbortHandle,
 }
 
 pub struct Links {
     voters: BTreeMap<String, SocketAddr>,
-    heard: Sender<Heard>,
-    open: BTreeMap<Link, Open>,
-    /// Said first on each connection that is opened from here.
+    events: Sender<LinkEvent>,
+    connections: BTreeMap<Link, Connection>,
+    /// First message on each outgoing connection.
     hello: watch::Sender<Vec<u8>>,
-    /// A connection on which nothing has been heard for so long is asked for a beat, and dead after twice that.
-    beat: Duration,
+    /// A keepalive is requested on a connection that has been silent for this long; after twice that it is
+    /// closed.
+    keepalive_interval: Duration,
     pub bytes_out: u64,
     pub bytes_in: Arc<AtomicU64>,
 }
@@ -56,117 +57,138 @@
         voters: BTreeMap<String, SocketAddr>,
         hello: &Message,
         lease_us: u64,
-        heard: Sender<Heard>,
+        events: Sender<LinkEvent>,
     ) -> Self {
         Links {
             voters,
-            heard,
-            open: BTreeMap::new(),
-            hello: watch::Sender::new(frames::framed(hello).unwrap_or_default()),
-            beat: Duration::from_micros(lease_us / 2),
+            events,
+            connections: BTreeMap::new(),
+            hello: watch::Sender::new(frames::encode(hello).unwrap_or_default()),
+            keepalive_interval: Duration::from_micros(lease_us / 2),
             bytes_out: 0,
             bytes_in: Arc::default(),
         }
     }
 
-    /// From now on connections begin with this; the ones opened from here are told too.
+    /// Sets the first message of new connections, and sends it on the outgoing ones that are open.
     pub fn hello(&mut self, hello: &Message) {
-        let frame = frames::framed(hello).unwrap_or_default();
+        let frame = frames::encode(hello).unwrap_or_default();
         self.hello.send_replace(frame.clone());
-        for (link, open) in &self.open {
+        for (link, connection) in &self.connections {
             if matches!(link, Link::Voter(_)) {
-                let _ = open.frames.try_send(frame.clone());
+                let _ = connection.frames.try_send(frame.clone());
             }
         }
     }
 
-    pub fn say(&mut self, link: &Link, word: &Message) {
-        if !self.open.contains_key(link) {
+    pub fn send(&mut self, link: &Link, message: &Message) {
+        if !self.connections.contains_key(link) {
             let Link::Voter(name) = link else { return };
             let Some(address) = self.voters.get(name).copied() else { return };
-            let (frames, waiting) = mpsc::channel(MOST_WAITING);
-            let dialled = Dialled {
+            let (frames, queue) = mpsc::channel(MAX_QUEUED_FRAMES);
+            let outgoing = Outgoing {
                 link: link.clone(),
                 address,
                 hello: self.hello.subscribe(),
-                beat: self.beat,
-                heard: self.heard.clone(),
+                keepalive_interval: self.keepalive_interval,
+                events: self.events.clone(),
                 bytes_in: Arc::clone(&self.bytes_in),
             };
-            let task = tokio::spawn(dialled.live(waiting)).abort_handle();
-            self.open.insert(link.clone(), Open { frames, task });
+            let task = tokio::spawn(outgoing.run(queue)).abort_handle();
+            self.connections.insert(link.clone(), Connection { frames, task });
         }
-        let (Some(open), Some(frame)) = (self.open.get(link), frames::framed(word)) else { return };
+        let (Some(connection), Some(frame)) = (self.connections.get(link), frames::encode(message)) else {
+            return;
+        };
         let length = frame.len() as u64;
-        if open.frames.try_send(frame).is_ok() {
+        if connection.frames.try_send(frame).is_ok() {
             self.bytes_out += length;
         }
     }
 
-    pub fn accepted(&mut self, conn: u64, stream: TcpStream) {
-        if self.open.len() >= MOST_CONNS {
+    pub fn add_accepted(&mut self, conn: u64, stream: TcpStream) {
+        if self.connections.len() >= MAX_CONNECTIONS {
             return;
         }
         let link = Link::Conn(conn);
-        let (frames, mut waiting) = mpsc::channel(MOST_WAITING);
-        let (heard, beat, of) = (self.heard.clone(), self.beat, link.clone());
+        let (frames, mut queue) = mpsc::channel(MAX_QUEUED_FRAMES);
+        let (events, keepalive_interval, own_link) =
+            (self.events.clone(), self.keepalive_interval, link.clone());
         let bytes_in = Arc::clone(&self.bytes_in);
         let task = tokio::spawn(async move {
-            // Whoever opened it beats: one that is silent for so long is gone.
-            let why = lives(stream, &of, &mut waiting, &heard, beat * 8, None, &bytes_in).await;
+            // The side that opened the connection sends keepalives; one that is silent for this long is gone.
+            let why = run_connection(
+                stream,
+                &own_link,
+                &mut queue,
+                &events,
+                keepalive_interval * 8,
+                None,
+                &bytes_in,
+            )
+            .await;
             tracing::debug!(code = "fleet_conn_ended", conn, "{why}");
-            let _ = heard.send(Heard::Closed(of)).await;
+            let _ = events.send(LinkEvent::Closed(own_link)).await;
         });
-        self.open.insert(link, Open { frames, task: task.abort_handle() });
+        self.connections.insert(link, Connection { frames, task: task.abort_handle() });
     }
 
     pub fn close(&mut self, link: &Link) {
-        if let Some(open) = self.open.remove(link) {
-            open.task.abort();
+        if let Some(connection) = self.connections.remove(link) {
+            connection.task.abort();
         }
     }
 }
 
 impl Drop for Links {
     fn drop(&mut self) {
-        self.open.values().for_each(|open| open.task.abort());
+        self.connections.values().for_each(|connection| connection.task.abort());
     }
 }
 
-/// A connection to a voter, opened anew as often as it ends while there is something to say.
-struct Dialled {
+/// A connection to a voter. It is reopened whenever it has ended and there is something to send.
+struct Outgoing {
     link: Link,
     address: SocketAddr,
     hello: watch::Receiver<Vec<u8>>,
-    beat: Duration,
-    heard: Sender<Heard>,
+    keepalive_interval: Duration,
+    events: Sender<LinkEvent>,
     bytes_in: Arc<AtomicU64>,
 }
 
-impl Dialled {
-    async fn live(self, mut waiting: Receiver<Vec<u8>>) {
-        // Opened once there is something to say, and again when there is.
-        while let Some(first) = waiting.recv().await {
-            let why = match timeout(CONNECT, self.opened(&first)).await {
+impl Outgoing {
+    async fn run(self, mut queue: Receiver<Vec<u8>>) {
+        // Opened only when there is something to send.
+        while let Some(first) = queue.recv().await {
+            let why = match timeout(CONNECT_TIMEOUT, self.connect(&first)).await {
                 Ok(Ok(stream)) => {
-                    let dead = 2 * self.beat;
-                    let beat = frames::framed(&Message::Beat);
-                    lives(stream, &self.link, &mut waiting, &self.heard, dead, beat, &self.bytes_in).await
+                    let silence_limit = 2 * self.keepalive_interval;
+                    let keepalive = frames::encode(&Message::Beat);
+                    run_connection(
+                        stream,
+                        &self.link,
+                        &mut queue,
+                        &self.events,
+                        silence_limit,
+                        keepalive,
+                        &self.bytes_in,
+                    )
+                    .await
                 }
-                Ok(Err(wrong)) => wrong.to_string(),
+                Ok(Err(error)) => error.to_string(),
                 Err(_) => "no connection".to_owned(),
             };
             tracing::debug!(code = "fleet_link_ended", address = %self.address, "{why}");
-            if self.heard.send(Heard::Closed(self.link.clone())).await.is_err() {
+            if self.events.send(LinkEvent::Closed(self.link.clone())).await.is_err() {
                 return;
             }
-            sleep(AGAIN + Duration::from_millis(fastrand::u64(0..100))).await;
-            // Said to a connection that was gone, they would come as news on the next.
-            while waiting.try_recv().is_ok() {}
+            sleep(RECONNECT_DELAY + Duration::from_millis(fastrand::u64(0..100))).await;
+            // Frames queued for the closed connection would be out of date on the next one.
+            while queue.try_recv().is_ok() {}
         }
     }
 
-    async fn opened(&self, first: &[u8]) -> std::io::Result<TcpStream> {
+    async fn connect(&self, first: &[u8]) -> std::io::Result<TcpStream> {
         let mut stream = TcpStream::connect(self.address).await?;
         let hello = self.hello.borrow().clone();
         stream.write_all(&hello).await?;
@@ -175,64 +197,64 @@
     }
 }
 
-/// Both directions of one connection until either ends; says why.
-async fn lives(
+/// Runs both directions of a connection until either ends; returns the reason.
+async fn run_connection(
     stream: TcpStream,
     link: &Link,
-    waiting: &mut Receiver<Vec<u8>>,
-    heard: &Sender<Heard>,
-    dead: Duration,
-    beat: Option<Vec<u8>>,
+    queue: &mut Receiver<Vec<u8>>,
+    events: &Sender<LinkEvent>,
+    silence_limit: Duration,
+    keepalive: Option<Vec<u8>>,
     bytes_in: &AtomicU64,
 ) -> String {
     let _ = stream.set_nodelay(true);
     let (reader, writer) = stream.into_split();
     let (mut reader, mut writer) = (BufReader::new(reader), BufWriter::new(writer));
-    // An answer to a beat, for the writing half.
-    let (asked, mut beats) = mpsc::channel::<()>(1);
-    let answers = beat.is_none();
+    // Requests to the writing half to answer a keepalive.
+    let (keepalive_requested, mut keepalive_requests) = mpsc::channel::<()>(1);
+    let answers_keepalives = keepalive.is_none();
     let reading = async {
-        let mut room = Vec::new();
+        let mut buffer = Vec::new();
         loop {
-            let word = timeout(dead, frames::read(&mut reader, &mut room)).await;
-            let word = match word {
-                Ok(Ok(word)) => word,
+            let message = timeout(silence_limit, frames::read(&mut reader, &mut buffer)).await;
+            let message = match message {
+                Ok(Ok(message)) => message,
                 Ok(Err(why)) => return why,
                 Err(_) => return "silent".to_owned(),
             };
-            bytes_in.fetch_add(room.len() as u64 + 4, Ordering::Relaxed);
-            if word == Message::Beat {
-                if answers {
-                    let _ = asked.try_send(());
+            bytes_in.fetch_add(buffer.len() as u64 + 4, Ordering::Relaxed);
+            if message == Message::Beat {
+                if answers_keepalives {
+                    let _ = keepalive_requested.try_send(());
                 }
                 continue;
             }
-            if heard.send(Heard::Message(link.clone(), Box::new(word))).await.is_err() {
-                return "the fleet's part has ended".to_owned();
+            if events.send(LinkEvent::Message(link.clone(), Box::new(message))).await.is_err() {
+                return "the event loop has ended".to_owned();
             }
         }
     };
     let writing = async {
-        let answer = frames::framed(&Message::Beat).unwrap_or_default();
-        let mut next = Instant::now() + dead / 2;
+        let answer = frames::encode(&Message::Beat).unwrap_or_default();
+        let mut next = Instant::now() + silence_limit / 2;
         let mut idle = 0;
         loop {
             let frame = tokio::select! {
                 biased;
-                frame = waiting.recv() => match frame {
+                frame = queue.recv() => match frame {
                     Some(frame) => {
                         idle = 0;
                         frame
                     }
-                    None => return "no longer wanted".to_owned(),
+                    None => return "closed by this process".to_owned(),
                 },
-                Some(()) = beats.recv() => answer.clone(),
+                Some(()) = keepalive_requests.recv() => answer.clone(),
                 () = tokio::time::sleep_until(next) => {
-                    next = Instant::now() + dead / 2;
+                    next = Instant::now() + silence_limit / 2;
                     idle += 1;
-                    match &beat {
-                        Some(_) if idle > MOST_IDLE => return "idle".to_owned(),
-                        Some(beat) => beat.clone(),
+                    match &keepalive {
+                        Some(_) if idle > MAX_IDLE_KEEPALIVES => return "idle".to_owned(),
+                        Some(keepalive) => keepalive.clone(),
                         None => continue,
                     }
                 }
@@ -241,9 +263,9 @@
                 writer.write_all(&frame).await?;
                 writer.flush().await
             };
-            match timeout(dead, written).await {
+            match timeout(silence_limit, written).await {
                 Ok(Ok(())) => {}
-                Ok(Err(wrong)) => return wrong.to_string(),
+                Ok(Err(error)) => return error.to_string(),
                 Err(_) => return "takes nothing".to_owned(),
             }
         }
@@ -254,18 +276,18 @@
     }
 }
 
-/// Accepts until the process ends; where the address is taken, by the older process of an upgrade say, it is
-/// tried again.
+/// Accepts connections until the process ends. If the address is in use, for instance by the older process of
+/// an upgrade, binding is retried.
 pub async fn listen(address: SocketAddr, accepted: Sender<TcpStream>) {
-    let mut told = false;
+    let mut logged = false;
     loop {
         let listener = match TcpListener::bind(address).await {
             Ok(listener) => listener,
-            Err(wrong) => {
-                if !std::mem::replace(&mut told, true) {
-                    tracing::warn!(code = "fleet_no_listener", %address, "{wrong}");
+            Err(error) => {
+                if !std::mem::replace(&mut logged, true) {
+                    tracing::warn!(code = "fleet_no_listener", %address, "{error}");
                 }
-                sleep(5 * PAUSE).await;
+                sleep(5 * ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -276,9 +298,9 @@
                         return;
                     }
                 }
-                Err(wrong) => {
-                    tracing::warn!(code = "accept_error", "fleet: {wrong}");
-                    sleep(PAUSE).await;
+                Err(error) => {
+                    tracing::warn!(code = "accept_error", "fleet: {error}");
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
--- a/crates/carry/src/log.rs
+++ b/crates/carry/src/log.rs
@@ -1,12 +1,12 @@
-//! The fleet's part in the log. Called by `run` for each event of the node.
+//! Log lines of the fleet. `run` calls it for each event of the node.
 
 use crankpick_fleet::node::{Event, Node};
 
 use crate::clock::now_us;
 use crate::file::FleetFile;
 
-/// One line for each thing that staff may have to know of; `docs/on-call.md` says what each code means.
-pub(crate) fn tell(event: Event, file: &FleetFile, node: &Node) {
+/// Logs an event that operators may need to know of. `docs/on-call.md` explains each code.
+pub(crate) fn log_event(event: Event, file: &FleetFile, node: &Node) {
     let (t_us, process) = (now_us(), node.process_name());
     match event {
         Event::LeaseHeld { duty, token, from_us, until_us } => {
@@ -21,7 +21,7 @@
                 duty,
                 token,
                 process,
-                "the lease ran out: nothing more is done for this duty"
+                "the lease expired; this process no longer acts as the owner"
             );
         }
         Event::LeaseReleased { duty, token } => {
@@ -36,7 +36,7 @@
                 version,
                 owner,
                 process,
-                "published by its owner"
+                "publication applied"
             );
         }
         Event::StalePublication { duty, token, version, owner, seen } => {
@@ -53,20 +53,20 @@
             );
         }
         Event::BecameLeader { term } => {
-            tracing::info!(code = "fleet_leads", t_us, term, process, "leads the voters")
+            tracing::info!(code = "fleet_leads", t_us, term, process, "became the leader of the voters")
         }
         Event::LostLeadership { term } => {
-            tracing::info!(code = "fleet_lead_lost", t_us, term, process, "leads no more")
+            tracing::info!(code = "fleet_lead_lost", t_us, term, process, "lost the leadership")
         }
         Event::LogFounded { voters } => {
-            tracing::info!(code = "fleet_founded", t_us, voters, process, "the log begins")
+            tracing::info!(code = "fleet_founded", t_us, voters, process, "created the replicated log")
         }
         Event::AwaitingAdmission => {
             tracing::warn!(
                 code = "fleet_new_disk",
                 t_us,
                 process,
-                "the log began without this disk: waits to be taken in"
+                "the log was created without this disk; waiting to be admitted"
             );
         }
         Event::VoterReplaced { name } => {
@@ -75,7 +75,7 @@
                 t_us,
                 voter = name,
                 process,
-                "a voter's new disk has taken the old one's place"
+                "a voter's new disk has replaced the old one"
             );
         }
         Event::Superseded => {
@@ -93,7 +93,7 @@
                 fleet,
                 from,
                 process,
-                "a proxy of another fleet, turned away"
+                "rejected a connection from another fleet"
             );
         }
         Event::DiskFailed { why } => {
@@ -101,7 +101,7 @@
                 code = "fleet_disk_lost",
                 t_us,
                 process,
-                "neither votes nor owns until it can write: {why}"
+                "neither votes nor owns duties until the disk accepts writes: {why}"
             );
         }
         Event::DiskRecovered => tracing::info!(code = "fleet_disk_back", t_us, process, "it can write again"),
--- a/crates/carry/src/plan_file.rs
+++ b/crates/carry/src/plan_file.rs
@@ -1,5 +1,6 @@
-//! A work plan as operators write it: TOML, read whole, refused with file, line and reason. The command line reads
-//! the file; the proxy that is called fills in machines named by zone or cell. Called by both.
+//! A maintenance plan as written by operators: a TOML file, read and validated as a whole; errors name the
+//! file, the line and the reason. The command line reads the file; the proxy that it calls resolves machines
+//! named by zone or cell.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -8,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 use toml::Spanned;
 
-/// Times that no machine's work can need.
-const MOST_US: u64 = 30 * 86_400 * 1_000_000;
+/// Upper bound of all durations in a plan.
+const MAX_US: u64 = 30 * 86_400 * 1_000_000;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -56,7 +57,7 @@
     cell: Option<u32>,
 }
 
-/// A sound file, its machines not looked up yet.
+/// A valid file whose machines have not been resolved yet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Draft {
     name: String,
@@ -67,76 +68,77 @@
 }
 
 pub fn read(path: &Path) -> Result<Draft, String> {
-    let text = std::fs::read_to_string(path).map_err(|wrong| format!("{}: {wrong}", path.display()))?;
+    let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
     let line = |at: usize| text[..at.min(text.len())].matches('\n').count() + 1;
-    let read = toml::from_str::<Text>(&text).map_err(|wrong| {
-        let at = wrong.span().map_or(1, |span| line(span.start));
-        (at, wrong.message().replace('\n', ", "))
+    let parsed = toml::from_str::<Text>(&text).map_err(|error| {
+        let at = error.span().map_or(1, |span| line(span.start));
+        (at, error.message().replace('\n', ", "))
     });
-    let checked = read.and_then(|text| checked(text).map_err(|(at, why)| (line(at), why)));
-    checked.map_err(|(line, why)| format!("{}:{line}: {why}", path.display()))
+    let validated = parsed.and_then(|text| validate(text).map_err(|(at, why)| (line(at), why)));
+    validated.map_err(|(line, why)| format!("{}:{line}: {why}", path.display()))
 }
 
-type Wrong = (usize, String);
+type LocatedError = (usize, String);
 
 fn within<T: PartialOrd + Copy + std::fmt::Display>(
     value: &Option<Spanned<T>>,
     name: &str,
-    unsaid: T,
-    least: T,
-    most: T,
-) -> Result<T, Wrong> {
-    let Some(spanned) = value else { return Ok(unsaid) };
+    default: T,
+    min: T,
+    max: T,
+) -> Result<T, LocatedError> {
+    let Some(spanned) = value else { return Ok(default) };
     let value = *spanned.get_ref();
-    match value >= least && value <= most {
+    match value >= min && value <= max {
         true => Ok(value),
-        false => Err((spanned.span().start, format!("{name} {value}: from {least} to {most}"))),
+        false => Err((spanned.span().start, format!("{name} {value}: from {min} to {max}"))),
     }
 }
 
-/// `22:00-06:30`, UTC.
-fn hours(text: &Spanned<String>) -> Result<(u32, u32), Wrong> {
+/// Parses a range as `22:00-06:30`, in UTC.
+fn parse_quiet_hours(text: &Spanned<String>) -> Result<(u32, u32), LocatedError> {
     let minute = |text: &str| {
         let (hour, minute) = text.trim().split_once(':')?;
         let (hour, minute) = (hour.parse::<u32>().ok()?, minute.parse::<u32>().ok()?);
         (hour < 24 && minute < 60).then_some(60 * hour + minute)
     };
-    let both = text.get_ref().split_once('-').and_then(|(from, until)| Some((minute(from)?, minute(until)?)));
-    both.filter(|(from, until)| from != until).ok_or_else(|| {
+    let range =
+        text.get_ref().split_once('-').and_then(|(from, until)| Some((minute(from)?, minute(until)?)));
+    range.filter(|(from, until)| from != until).ok_or_else(|| {
         (
             text.span().start,
-            format!("quiet_hours {:?}: two unlike times of the day, as 22:00-06:30", text.get_ref()),
+            format!("quiet_hours {:?}: two different times of day, as in 22:00-06:30", text.get_ref()),
         )
     })
 }
 
-fn checked(text: Text) -> Result<Draft, Wrong> {
+fn validate(text: Text) -> Result<Draft, LocatedError> {
     let name = text.name.get_ref().clone();
-    let fit = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
-    if !(1..=64).contains(&name.len()) || !name.bytes().all(fit) {
+    let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
+    if !(1..=64).contains(&name.len()) || !name.bytes().all(allowed) {
         return Err((text.name.span().start, "name: 1 to 64 of letters, digits, -, _ and .".into()));
     }
     if text.why.get_ref().trim().is_empty() || text.why.get_ref().len() > 200 {
-        return Err((text.why.span().start, "why: say it in 1 to 200 bytes".into()));
+        return Err((text.why.span().start, "why: a reason of 1 to 200 bytes is required".into()));
     }
-    let (usual, limits) = (Bounds::default(), text.bounds.get_ref());
+    let (defaults, limits) = (Bounds::default(), text.bounds.get_ref());
     let most_out = *limits.most_out.get_ref();
     if most_out == 0 {
-        return Err((limits.most_out.span().start, "most_out 0: nothing would ever go".into()));
+        return Err((limits.most_out.span().start, "most_out 0: no machine could ever be taken out".into()));
     }
     let bounds = Bounds {
         most_out,
         most_out_zone: within(&limits.most_out_zone, "most_out_zone", u32::MAX, 1, most_out)?,
         most_out_cell: within(&limits.most_out_cell, "most_out_cell", u32::MAX, 1, most_out)?,
         most_cold: within(&limits.most_cold, "most_cold", u32::MAX, 1, u32::MAX)?,
-        least_spare: within(&limits.least_spare, "least_spare", usual.least_spare, 1.0, 1_000.0)?,
-        most_rejected: within(&limits.most_rejected, "most_rejected", usual.most_rejected, 0.0, 1.0)?,
-        most_silent: within(&limits.most_silent, "most_silent", usual.most_silent, 0.0, 1.0)?,
-        quiet: limits.quiet_hours.iter().map(hours).collect::<Result<_, _>>()?,
-        hang_us: within(&limits.hang_us, "hang_us", usual.hang_us, 1_000_000, MOST_US)?,
-        work_us: within(&text.work_us, "work_us", usual.work_us, 1, MOST_US)?,
-        warm_us: within(&limits.warm_us, "warm_us", usual.warm_us, 0, MOST_US)?,
-        calm_us: within(&limits.calm_us, "calm_us", usual.calm_us, 0, MOST_US)?,
+        least_spare: within(&limits.least_spare, "least_spare", defaults.least_spare, 1.0, 1_000.0)?,
+        most_rejected: within(&limits.most_rejected, "most_rejected", defaults.most_rejected, 0.0, 1.0)?,
+        most_silent: within(&limits.most_silent, "most_silent", defaults.most_silent, 0.0, 1.0)?,
+        quiet: limits.quiet_hours.iter().map(parse_quiet_hours).collect::<Result<_, _>>()?,
+        hang_us: within(&limits.hang_us, "hang_us", defaults.hang_us, 1_000_000, MAX_US)?,
+        work_us: within(&text.work_us, "work_us", defaults.work_us, 1, MAX_US)?,
+        warm_us: within(&limits.warm_us, "warm_us", defaults.warm_us, 0, MAX_US)?,
+        calm_us: within(&limits.calm_us, "calm_us", defaults.calm_us, 0, MAX_US)?,
         last_of_cell: limits.last_of_cell,
     };
     if text.machines.is_empty() {
@@ -152,7 +154,7 @@
         }
         if let Some(name) = backend.as_ref().or(proxy.as_ref()) {
             if name.is_empty() || name.contains(char::is_whitespace) {
-                return Err((at, format!("no machine's name: {name:?}")));
+                return Err((at, format!("not a machine name: {name:?}")));
             }
             if !seen.insert(name.clone()) {
                 return Err((at, format!("{name:?} twice")));
@@ -173,11 +175,12 @@
         &self.name
     }
 
-    /// The plan, with each machine by its name; `listed` are backends with zone and cell.
+    /// Resolves the draft to a plan with each machine by name; `listed` are the known backends with zone and
+    /// cell.
     pub fn plan(self, listed: &[(String, String, u32)], voters: &[String]) -> Result<(String, Plan), String> {
         let mut machines = BTreeMap::new();
         let mut add = |name: &str, machine: Machine| match machines.contains_key(name) {
-            // Once by name and once by its zone is the same machine; a proxy and a backend are not.
+            // A machine may be named both by itself and by its zone; but not as both a proxy and a backend.
             true if machines.get(name).map(|one: &Machine| one.is) != Some(machine.is) => {
                 Err(format!("{name:?} is a proxy and a backend"))
             }
--- a/crates/carry/src/store.rs
+++ b/crates/carry/src/store.rs
@@ -1,5 +1,5 @@
-//! What a process keeps, on disk: one file, each batch written whole or not at all and there for good before
-//! the write returns. Called by `run` on the fleet's own thread, never by the one that serves queries.
+//! The persistent store of a process: one file. Each batch is written atomically and is durable before the
+//! write returns. Used by `run` on the fleet thread, never on the one that serves queries.
 
 use std::path::Path;
 
@@ -18,24 +18,24 @@
 const PROBE: &str = "probe";
 
 #[derive(Debug)]
-pub enum Wrong {
-    /// Another process has it: the older one of an upgrade, most often.
+pub enum StoreError {
+    /// Another process has it open, usually the older one of an upgrade.
     Held,
-    /// It can't be read or written.
+    /// It cannot be read or written.
     Broken(String),
 }
 
-impl std::fmt::Display for Wrong {
+impl std::fmt::Display for StoreError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Wrong::Held => write!(f, "another process has it"),
-            Wrong::Broken(why) => write!(f, "{why}"),
+            StoreError::Held => write!(f, "another process has the store open"),
+            StoreError::Broken(why) => write!(f, "{why}"),
         }
     }
 }
 
-fn broken(wrong: impl std::fmt::Display) -> Wrong {
-    Wrong::Broken(wrong.to_string())
+fn store_error(error: impl std::fmt::Display) -> StoreError {
+    StoreError::Broken(error.to_string())
 }
 
 pub struct Store {
@@ -43,43 +43,44 @@
 }
 
 impl Store {
-    /// Opens the file in this folder, or makes both; what is there is read whole.
-    pub fn open(folder: &Path) -> Result<(Self, PersistentState), Wrong> {
-        std::fs::create_dir_all(folder).map_err(|wrong| broken(format!("{}: {wrong}", folder.display())))?;
+    /// Opens the store in this folder, creating both if necessary, and reads all of its contents.
+    pub fn open(folder: &Path) -> Result<(Self, PersistentState), StoreError> {
+        std::fs::create_dir_all(folder)
+            .map_err(|error| store_error(format!("{}: {error}", folder.display())))?;
         let path = folder.join("fleet.redb");
         let opened = || {
-            let database = Database::create(&path).map_err(|wrong| match wrong {
-                redb::DatabaseError::DatabaseAlreadyOpen => Wrong::Held,
-                wrong => broken(format!("{}: {wrong}", path.display())),
+            let database = Database::create(&path).map_err(|error| match error {
+                redb::DatabaseError::DatabaseAlreadyOpen => StoreError::Held,
+                error => store_error(format!("{}: {error}", path.display())),
             })?;
             Self::read(database)
         };
-        // A file that was cut short makes the library stop in places: told as any other damage.
+        // The library panics on some truncated files; report that as any other damage.
         let opened = std::panic::catch_unwind(std::panic::AssertUnwindSafe(opened));
-        opened.unwrap_or_else(|_| Err(broken(format!("{}: damaged", path.display()))))
+        opened.unwrap_or_else(|_| Err(store_error(format!("{}: damaged", path.display()))))
     }
 
-    /// On a disk that a test has its hands on.
-    pub fn over(disk: impl StorageBackend) -> Result<(Self, PersistentState), Wrong> {
-        Self::read(Database::builder().create_with_backend(disk).map_err(broken)?)
+    /// Opens a store on the given backend, for fault-injection tests.
+    pub fn with_backend(disk: impl StorageBackend) -> Result<(Self, PersistentState), StoreError> {
+        Self::read(Database::builder().create_with_backend(disk).map_err(store_error)?)
     }
 
-    fn read(database: Database) -> Result<(Self, PersistentState), Wrong> {
+    fn read(database: Database) -> Result<(Self, PersistentState), StoreError> {
         let mut store = Store { database };
-        let kept = match store.kept().map_err(broken)? {
+        let kept = match store.load().map_err(store_error)? {
             Some(kept) => kept,
             None => {
                 let seat = fastrand::u64(1..);
-                store.found(seat).map_err(broken)?;
+                store.initialize(seat).map_err(store_error)?;
                 PersistentState::new(seat)
             }
         };
-        // It may have been opened where nothing can be written any more: better known now.
-        store.probe().map_err(broken)?;
+        // The file may have been opened on a disk that accepts no writes any more; detect that now.
+        store.check_writable().map_err(store_error)?;
         Ok((store, kept))
     }
 
-    fn found(&mut self, seat: u64) -> Result<(), redb::Error> {
+    fn initialize(&mut self, seat: u64) -> Result<(), redb::Error> {
         let write = self.database.begin_write()?;
         write.open_table(META)?.insert(SEAT, seat.to_be_bytes().as_slice())?;
         write.open_table(LOG)?;
@@ -87,14 +88,14 @@
         Ok(())
     }
 
-    fn probe(&mut self) -> Result<(), redb::Error> {
+    fn check_writable(&mut self) -> Result<(), redb::Error> {
         let write = self.database.begin_write()?;
         write.open_table(META)?.insert(PROBE, fastrand::u64(..).to_be_bytes().as_slice())?;
         write.commit()?;
         Ok(())
     }
 
-    fn kept(&mut self) -> Result<Option<PersistentState>, Box<dyn std::error::Error>> {
+    fn load(&mut self) -> Result<Option<PersistentState>, Box<dyn std::error::Error>> {
         let read = self.database.begin_read()?;
         let meta = match read.open_table(META) {
             Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
@@ -117,13 +118,13 @@
         }
         if let Some(hard) = value(HARD)? {
             let hard = Some(Message::parse_from_bytes(&hard)?);
-            // A commit that is older than the snapshot counts as far as that.
+            // Applied as a batch, so that a commit index older than the snapshot is raised to the snapshot's.
             kept.log.apply(&Batch { hard, ..Batch::default() });
         }
         Ok(Some(kept))
     }
 
-    fn put(&mut self, batch: &Batch) -> Result<(), Box<dyn std::error::Error>> {
+    fn write_batch(&mut self, batch: &Batch) -> Result<(), Box<dyn std::error::Error>> {
         let write = self.database.begin_write()?;
         {
             let (mut meta, mut log) = (write.open_table(META)?, write.open_table(LOG)?);
@@ -154,6 +155,6 @@
 
 impl Disk for Store {
     fn write(&mut self, batch: &Batch) -> Result<(), String> {
-        self.put(batch).map_err(|wrong| wrong.to_string())
+        self.write_batch(batch).map_err(|error| error.to_string())
     }
 }
--- a/crates/carry/src/upkeep.rs
+++ b/crates/carry/src/upkeep.rs
@@ -1,8 +1,9 @@
-//! The call that begins work on a machine at a maintenance system: HTTP/1.1, JSON, the duty's token with it so
-//! that an old owner's is refused there. Called by `run`.
+//! The call to a maintenance system that starts work on a machine: JSON over HTTP/1.1. It carries the duty's
+//! token, so that the maintenance system can reject an outdated owner. Used by `run`.
 //!
-//! `POST /begin` with `id`, `plan`, `machine` and `token`: 200 where it has begun, now or before under the same
-//! id; 409 with `seen`, the token that stands against an old owner's; all else means not begun.
+//! `POST /start_work` with `id`, `plan`, `machine` and `token`. The answer is 200 if work has started, now or
+//! earlier under the same id, or 409 with `seen`, the higher token that fences off an outdated owner.
+//! Anything else means that work has not started.
 
 use std::time::Duration;
 
@@ -17,12 +18,12 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Shorter than the wait before a call is made again.
-const PATIENCE: Duration = Duration::from_millis(1_800);
-const MOST_ANSWER: usize = 4_096;
+/// Shorter than the retry interval of the call.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_800);
+const MAX_ANSWER_BYTES: usize = 4_096;
 
-pub async fn begin(call: &WorkStartRequest) -> WorkStart {
-    match timeout(PATIENCE, asked(call)).await {
+pub async fn start_work(call: &WorkStartRequest) -> WorkStart {
+    match timeout(CALL_TIMEOUT, post(call)).await {
         Ok(Ok((StatusCode::OK, _))) => WorkStart::Started,
         Ok(Ok((StatusCode::CONFLICT, answer))) => match answer["seen"].as_u64() {
             Some(seen) if seen > call.token => WorkStart::StaleToken(seen),
@@ -34,19 +35,19 @@
     }
 }
 
-async fn asked(call: &WorkStartRequest) -> Result<(StatusCode, Value), String> {
-    fn told(wrong: impl std::fmt::Display) -> String {
-        wrong.to_string()
+async fn post(call: &WorkStartRequest) -> Result<(StatusCode, Value), String> {
+    fn text(error: impl std::fmt::Display) -> String {
+        error.to_string()
     }
-    let stream = TcpStream::connect(&call.at).await.map_err(told)?;
-    let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.map_err(told)?;
+    let stream = TcpStream::connect(&call.at).await.map_err(text)?;
+    let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.map_err(text)?;
     let connection = tokio::spawn(connection);
     let body = json!({"id": call.id, "plan": call.plan, "machine": call.machine, "token": call.token});
     let request = Request::post("/begin").header("host", &call.at).header("content-type", "application/json");
-    let request = request.body(Full::new(Bytes::from(body.to_string()))).map_err(told)?;
-    let answer = sender.send_request(request).await.map_err(told)?;
+    let request = request.body(Full::new(Bytes::from(body.to_string()))).map_err(text)?;
+    let answer = sender.send_request(request).await.map_err(text)?;
     let status = answer.status();
-    let body = Limited::new(answer.into_body(), MOST_ANSWER).collect().await.map_err(told)?.to_bytes();
+    let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES).collect().await.map_err(text)?.to_bytes();
     connection.abort();
     Ok((status, serde_json::from_slice(&body).unwrap_or(Value::Null)))
 }
--- a/crates/carry/tests/file.rs
+++ b/crates/carry/tests/file.rs
@@ -1,10 +1,11 @@
-//! The fleet's file: sound ones are read, each unsound one is refused with file, line and reason.
+//! The fleet's configuration file: valid ones are read, and each invalid one is rejected with file, line and
+//! reason.
 
 use std::path::PathBuf;
 
 use crankpick_carry::file::{read, FleetFile};
 
-const SOUND: &str = r#"fleet = "wallet"
+const VALID: &str = r#"fleet = "wallet"
 name = "n1"
 state = "/var/lib/crankpick"
 lease_us = 3_000_000
@@ -21,44 +22,44 @@
 address = "127.0.0.3:7950"
 "#;
 
-fn written(name: &str, text: &str) -> PathBuf {
+fn write_file(name: &str, text: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("crankpick-file-{}-{name}.toml", std::process::id()));
     std::fs::write(&path, text).expect("a writable temporary folder");
     path
 }
 
-fn tried(name: &str, text: &str, own: Option<&str>) -> Result<FleetFile, String> {
-    let path = written(name, text);
-    let done = read(&path, own);
+fn parse(name: &str, text: &str, own: Option<&str>) -> Result<FleetFile, String> {
+    let path = write_file(name, text);
+    let result = read(&path, own);
     let _ = std::fs::remove_file(&path);
-    done.map_err(|why| why.replace(&path.display().to_string(), "FILE"))
+    result.map_err(|why| why.replace(&path.display().to_string(), "FILE"))
 }
 
 #[test]
 fn a_sound_file_is_read_and_may_be_shared_by_all() {
-    let file = tried("sound", SOUND, None).expect("sound");
+    let file = parse("sound", VALID, None).expect("sound");
     assert_eq!(
         (file.plan.times.lease_us, file.plan.times.renew_us, file.wait_us),
         (3_000_000, 500_000, 1_000_000)
     );
     assert_eq!(file.listen, Some("127.0.0.1:7950".parse().expect("an address")));
-    let shared = SOUND.replace("name = \"n1\"\nstate", "state");
-    let other = tried("shared", &shared, Some("n9")).expect("sound");
+    let shared = VALID.replace("name = \"n1\"\nstate", "state");
+    let other = parse("shared", &shared, Some("n9")).expect("sound");
     assert_eq!((other.plan.name.as_str(), other.listen), ("n9", None), "no voter, so it listens nowhere");
     assert_eq!(
-        tried("second", &shared, Some("n2")).expect("sound").listen.map(|at| at.ip().to_string()).as_deref(),
+        parse("second", &shared, Some("n2")).expect("sound").listen.map(|at| at.ip().to_string()).as_deref(),
         Some("127.0.0.2")
     );
 }
 
 #[test]
 fn each_unsound_file_is_refused_with_its_line_and_the_reason() {
-    let without = |part: &str| SOUND.replace(part, "");
-    let with = |from: &str, to: &str| SOUND.replacen(from, to, 1);
-    let voters = SOUND.find("[[voters]]").expect("there");
-    let two = SOUND[..SOUND.rfind("[[voters]]").expect("there")].to_owned();
+    let without = |part: &str| VALID.replace(part, "");
+    let with = |from: &str, to: &str| VALID.replacen(from, to, 1);
+    let voters = VALID.find("[[voters]]").expect("there");
+    let two = VALID[..VALID.rfind("[[voters]]").expect("there")].to_owned();
     let cases: Vec<(String, &str)> = vec![
-        (SOUND[..voters].to_owned(), "FILE:1: no voters"),
+        (VALID[..voters].to_owned(), "FILE:1: no voters"),
         (two, "FILE:11: 2 voters: an even number"),
         (
             with("name = \"n1\"\nstate", "name = \"n7\"\nlisten = \"127.0.0.7:1\"\nstate"),
@@ -89,7 +90,7 @@
         ),
     ];
     for (number, (text, start)) in cases.iter().enumerate() {
-        let why = tried(&format!("bad-{number}"), text, None).expect_err(start);
+        let why = parse(&format!("bad-{number}"), text, None).expect_err(start);
         assert!(why.starts_with(start), "{number}: {why} instead of {start}");
         assert!(!why.contains('\n'), "{why}");
     }
@@ -97,7 +98,7 @@
     assert!(absent.starts_with("/nowhere/fleet.toml: "), "{absent}");
 }
 
-/// What the repository gives as a sample is sound.
+/// The sample in the repository is valid.
 #[test]
 fn the_sample_is_sound() {
     let sample = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../deploy/fleet.toml");
--- a/crates/carry/tests/power.rs
+++ b/crates/carry/tests/power.rs
@@ -1,5 +1,5 @@
-//! The store on a disk whose power fails: at each write, in the middle of one, with what was not synced lost
-//! or not as drawn. What was acknowledged is there, no more and no less.
+//! The store on a disk whose power fails at or within any write, with unsynced data lost or kept at random.
+//! The store must then contain exactly the acknowledged batches, and possibly the one in progress.
 
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -11,74 +11,74 @@
 use redb::StorageBackend;
 
 #[derive(Clone, Debug)]
-enum Op {
+enum DiskOp {
     Write(u64, Vec<u8>),
     Length(u64),
     Sync,
 }
 
-/// A disk in memory that remembers what was done to it, in order.
+/// An in-memory disk that records the operations on it, in order.
 #[derive(Clone, Debug, Default)]
-struct Recorded {
+struct RecordingDisk {
     bytes: Arc<Mutex<Vec<u8>>>,
-    ops: Arc<Mutex<Vec<Op>>>,
+    ops: Arc<Mutex<Vec<DiskOp>>>,
 }
 
-fn apply(bytes: &mut Vec<u8>, op: &Op, part: usize) {
+fn apply(bytes: &mut Vec<u8>, op: &DiskOp, limit: usize) {
     match op {
-        Op::Write(at, data) => {
-            let data = &data[..part.min(data.len())];
+        DiskOp::Write(at, data) => {
+            let data = &data[..limit.min(data.len())];
             let end = *at as usize + data.len();
             if bytes.len() < end {
                 bytes.resize(end, 0);
             }
             bytes[*at as usize..end].copy_from_slice(data);
         }
-        Op::Length(length) => bytes.resize(*length as usize, 0),
-        Op::Sync => {}
+        DiskOp::Length(length) => bytes.resize(*length as usize, 0),
+        DiskOp::Sync => {}
     }
 }
 
-impl Recorded {
-    fn holding(bytes: Vec<u8>) -> Self {
-        Recorded { bytes: Arc::new(Mutex::new(bytes)), ops: Arc::default() }
+impl RecordingDisk {
+    fn with_contents(bytes: Vec<u8>) -> Self {
+        RecordingDisk { bytes: Arc::new(Mutex::new(bytes)), ops: Arc::default() }
     }
 
-    fn done(&self, op: Op) {
-        apply(&mut self.bytes.lock().expect("whole"), &op, usize::MAX);
-        self.ops.lock().expect("whole").push(op);
+    fn record(&self, op: DiskOp) {
+        apply(&mut self.bytes.lock().expect("not poisoned"), &op, usize::MAX);
+        self.ops.lock().expect("not poisoned").push(op);
     }
 
-    fn so_far(&self) -> usize {
-        self.ops.lock().expect("whole").len()
+    fn op_count(&self) -> usize {
+        self.ops.lock().expect("not poisoned").len()
     }
 }
 
-impl StorageBackend for Recorded {
+impl StorageBackend for RecordingDisk {
     fn len(&self) -> io::Result<u64> {
-        Ok(self.bytes.lock().expect("whole").len() as u64)
+        Ok(self.bytes.lock().expect("not poisoned").len() as u64)
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
-        let bytes = self.bytes.lock().expect("whole");
-        let part =
+        let bytes = self.bytes.lock().expect("not poisoned");
+        let range =
             bytes.get(offset as usize..offset as usize + out.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
-        out.copy_from_slice(part);
+        out.copy_from_slice(range);
         Ok(())
     }
 
     fn set_len(&self, length: u64) -> io::Result<()> {
-        self.done(Op::Length(length));
+        self.record(DiskOp::Length(length));
         Ok(())
     }
 
     fn sync_data(&self) -> io::Result<()> {
-        self.done(Op::Sync);
+        self.record(DiskOp::Sync);
         Ok(())
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.done(Op::Write(offset, data.to_vec()));
+        self.record(DiskOp::Write(offset, data.to_vec()));
         Ok(())
     }
 }
@@ -96,7 +96,7 @@
     Some(hard)
 }
 
-/// All kinds of writes: votes, entries, entries that replace others, snapshots, versions taken.
+/// All kinds of writes: votes, entries, replacements of entries, snapshots and publications.
 fn batches() -> Vec<Batch> {
     let mut snapshot = Snapshot::default();
     (snapshot.mut_metadata().index, snapshot.mut_metadata().term) = (1, 1);
@@ -108,7 +108,7 @@
             (first..first + 3).map(|index| entry(index, step + 1, 40 + 900 * (step as usize % 3))).collect();
         all.push(Batch { entries, hard: hard(step + 1, 5, first), ..Batch::default() });
         if step % 4 == 1 {
-            // A new leader's entries in the place of the last two.
+            // A new leader's entries replace the last two.
             let entries = vec![entry(first + 1, step + 2, 64), entry(first + 2, step + 2, 64)];
             all.push(Batch { entries, ..Batch::default() });
             let outs = (0..step).map(|number| format!("s-{number}")).collect();
@@ -132,32 +132,32 @@
             == (&other.log.hard, &other.log.snapshot, &other.log.entries)
 }
 
-/// What the store should hold after each batch, and how many operations had been done by then.
-fn played() -> (Recorded, Vec<(usize, PersistentState)>) {
-    let disk = Recorded::default();
-    let (mut store, mut kept) = Store::over(disk.clone()).expect("a new disk");
-    let mut states = vec![(disk.so_far(), kept.clone())];
+/// The expected contents of the store after each batch, and the number of disk operations until then.
+fn run_batches() -> (RecordingDisk, Vec<(usize, PersistentState)>) {
+    let disk = RecordingDisk::default();
+    let (mut store, mut state) = Store::with_backend(disk.clone()).expect("a new disk");
+    let mut states = vec![(disk.op_count(), state.clone())];
     for batch in batches() {
         store.write(&batch).expect("room");
-        kept.apply(&batch);
-        states.push((disk.so_far(), kept.clone()));
+        state.apply(&batch);
+        states.push((disk.op_count(), state.clone()));
     }
-    // Not closed: power fails.
+    // Not closed, as in a power failure.
     std::mem::forget(store);
     (disk, states)
 }
 
 #[test]
 fn what_was_acknowledged_is_there_wherever_the_power_fails() {
-    let (disk, states) = played();
-    let ops = disk.ops.lock().expect("whole").clone();
+    let (disk, states) = run_batches();
+    let ops = disk.ops.lock().expect("not poisoned").clone();
     let mut rng = fastrand::Rng::with_seed(11);
     let first = states[0].0;
-    let mut tried = 0;
+    let mut cuts = 0;
     for cut in first..=ops.len() {
         for _ in 0..3 {
-            // All up to the last sync is there; of what came after, any part, one write perhaps torn.
-            let synced = ops[..cut].iter().rposition(|op| matches!(op, Op::Sync)).map_or(0, |at| at + 1);
+            // All operations up to the last sync are kept; of those after it, any subset, possibly with torn writes.
+            let synced = ops[..cut].iter().rposition(|op| matches!(op, DiskOp::Sync)).map_or(0, |at| at + 1);
             let mut bytes = Vec::new();
             ops[..synced].iter().for_each(|op| apply(&mut bytes, op, usize::MAX));
             for op in &ops[synced..cut] {
@@ -167,28 +167,34 @@
                     _ => apply(&mut bytes, op, usize::MAX),
                 }
             }
-            let (_, found) = Store::over(Recorded::holding(bytes)).expect("it opens after a power cut");
+            let (_, found) =
+                Store::with_backend(RecordingDisk::with_contents(bytes)).expect("it opens after a power cut");
             let acked = states.iter().rposition(|(at, _)| *at <= cut).expect("the first");
-            // The one that was being written is there whole, or not at all.
-            let may = &states[acked..(acked + 2).min(states.len())];
-            assert!(may.iter().any(|(_, state)| same(state, &found)), "cut after operation {cut}: {found:?}");
-            tried += 1;
+            // The batch that was being written is there completely or not at all.
+            let allowed = &states[acked..(acked + 2).min(states.len())];
+            assert!(
+                allowed.iter().any(|(_, state)| same(state, &found)),
+                "cut after operation {cut}: {found:?}"
+            );
+            cuts += 1;
         }
     }
-    assert!(tried > 100, "{tried} cuts");
+    assert!(cuts > 100, "{cuts} cuts");
 }
 
-/// A file cut short is told, or holds all: never silently less.
+/// A truncated file is rejected or contains everything. Data must never be missing silently.
 #[test]
 fn a_file_that_is_cut_anywhere_holds_all_or_is_refused() {
-    let (disk, states) = played();
-    let whole = disk.bytes.lock().expect("whole").clone();
+    let (disk, states) = run_batches();
+    let whole = disk.bytes.lock().expect("not poisoned").clone();
     let last = &states.last().expect("the last").1;
-    // Each byte of the first and last pages, one in each page between.
+    // Every length within the first and last pages, and one in each page between them.
     let ends = (0..4_096).chain(whole.len() - 4_096..whole.len());
     let (mut refused, mut held) = (0, 0);
     for length in ends.chain((4_096..whole.len()).step_by(4_099)) {
-        let opened = std::panic::catch_unwind(|| Store::over(Recorded::holding(whole[..length].to_vec())));
+        let opened = std::panic::catch_unwind(|| {
+            Store::with_backend(RecordingDisk::with_contents(whole[..length].to_vec()))
+        });
         match opened {
             Ok(Ok((_, found))) if length == 0 => assert_eq!(found.log.entries.len(), 0, "a new disk"),
             Ok(Ok((_, found))) => {
--- a/crates/carry/tests/serialized_format.rs
+++ b/crates/carry/tests/serialized_format.rs
@@ -1,11 +1,12 @@
-//! The serialized form of the old fleet's frames and of what its store holds, against bytes that were written before.
+//! Checks the serialized form of the old fleet's frames and stored values against recorded bytes.
 //!
-//! Frames and stored values are `postcard`: fields and variants by their order, names don't count. A moved variant or
-//! field breaks an upgrade and this test. `BLESS_FIXTURES=1` records the bytes anew after an intended change.
+//! Both are encoded with `postcard`, which identifies fields and variants by their order, not by their names.
+//! Moving a field or variant breaks upgrades and this test. After an intended change, `BLESS_FIXTURES=1`
+//! records the bytes anew.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crankpick_carry::frames::{framed, read};
+use crankpick_carry::frames::{encode, read};
 use crankpick_fleet::messages::{
     Ask, MemberStatus, Message, ProcessId, Publication, Renewal, Renewed, Seat, Status, Told, WorkContext,
 };
@@ -53,7 +54,7 @@
     }
 }
 
-/// One machine of each stage.
+/// A plan with one machine at each stage.
 fn plan() -> Plan {
     let stages = [
         Stage::Proposed,
@@ -95,7 +96,7 @@
     }
 }
 
-/// Its count of plans taken is private: it stays at its default.
+/// The number of plans added so far is private and stays at its default.
 fn work() -> Work {
     let mut work = Work::default();
     work.revision = 23;
@@ -246,11 +247,11 @@
     }
 }
 
-fn words() -> Vec<(String, Message)> {
+fn messages() -> Vec<(String, Message)> {
     let (call, duty) = (61, "outs".to_owned());
     let ask = |ask| Message::Ask { who: who(), call, ask };
     let told = |told| Message::Told { who: who(), call, told };
-    let mut words = vec![
+    let mut messages = vec![
         ("hello".into(), Message::Hello { fleet: "f".into(), who: who(), voter: true }),
         ("beat".into(), Message::Beat),
         (
@@ -272,18 +273,18 @@
         ("away".into(), Message::Away),
         ("part".into(), Message::Part(who())),
     ];
-    words.extend(
+    messages.extend(
         commands().into_iter().map(|(name, command)| (format!("ask-{name}"), ask(Ask::Command(command)))),
     );
     for (index, outcome) in outcomes().into_iter().enumerate() {
-        words.push((format!("told-outcome-{index}"), told(Told::Done(outcome))));
+        messages.push((format!("told-outcome-{index}"), told(Told::Done(outcome))));
     }
-    words
+    messages
 }
 
 /// Fails to compile when a variant is added, which needs a sample above.
-fn variant(word: &Message) -> usize {
-    match word {
+fn variant(message: &Message) -> usize {
+    match message {
         Message::Hello { .. } => 0,
         Message::Beat => 1,
         Message::Seat(_) => 2,
@@ -307,19 +308,21 @@
 
 #[tokio::test]
 async fn every_word_keeps_its_frame() {
-    let words = words();
-    let variants: BTreeSet<usize> = words.iter().map(|(_, word)| variant(word)).collect();
+    let messages = messages();
+    let variants: BTreeSet<usize> = messages.iter().map(|(_, message)| variant(message)).collect();
     assert_eq!(variants, (0..14).collect(), "each variant has a sample");
-    let written: Vec<_> =
-        words.iter().map(|(name, word)| (name.clone(), framed(word).expect("short enough"))).collect();
-    let recorded = fixtures().assert_hex_lines("words.hex", &written);
-    for (recorded, (name, word)) in recorded.iter().zip(&words) {
+    let encoded: Vec<_> = messages
+        .iter()
+        .map(|(name, message)| (name.clone(), encode(message).expect("short enough")))
+        .collect();
+    let recorded = fixtures().assert_hex_lines("words.hex", &encoded);
+    for (recorded, (name, message)) in recorded.iter().zip(&messages) {
         let decoded = read(&mut &recorded[..], &mut Vec::new()).await.expect("a recorded frame is read");
-        assert_eq!(&decoded, word, "{name}: read as another value");
+        assert_eq!(&decoded, message, "{name}: read as another value");
     }
 }
 
-/// What the store holds beside the log of the consensus engine, and the state that its snapshots hold.
+/// The values that the store holds beside the Raft log, and the state contained in its snapshots.
 #[test]
 fn stored_values_keep_their_form() {
     let mut fleet = Fleet::with_voters(BTreeMap::from([("n1".into(), 9), ("n2".into(), 10)]));
@@ -330,12 +333,12 @@
     fleet.work = work();
     fleet.version = 19;
     let roster = fleet.seats.clone();
-    let written = vec![
+    let encoded = vec![
         ("taken".to_owned(), postcard::to_stdvec(&publication()).unwrap()),
         ("roster".to_owned(), postcard::to_stdvec(&roster).unwrap()),
         ("fleet".to_owned(), postcard::to_stdvec(&fleet).unwrap()),
     ];
-    let recorded = fixtures().assert_hex_lines("stored.hex", &written);
+    let recorded = fixtures().assert_hex_lines("stored.hex", &encoded);
     assert_eq!(postcard::from_bytes::<Publication>(&recorded[0]).unwrap(), publication());
     assert_eq!(postcard::from_bytes::<BTreeMap<String, u64>>(&recorded[1]).unwrap(), roster);
     assert_eq!(postcard::from_bytes::<Fleet>(&recorded[2]).unwrap(), fleet);
--- a/crates/lab/src/crowd.rs
+++ b/crates/lab/src/crowd.rs
@@ -81,7 +81,7 @@
     }
 
     async fn say(&self, stream: &mut (impl AsyncWriteExt + Unpin), word: &Message) -> Option<()> {
-        let frame = frames::framed(word)?;
+        let frame = frames::encode(word)?;
         stream.write_all(&frame).await.ok()?;
         self.counts.bytes_out.fetch_add(frame.len() as u64, Ordering::Relaxed);
         Some(())
--- a/crates/lab/tests/processes.rs
+++ b/crates/lab/tests/processes.rs
@@ -221,9 +221,9 @@
     let who = ProcessId { name: "n1".into(), incarnation: u64::MAX };
     let hello = Message::Hello { fleet: "other".into(), who: who.clone(), voter: true };
     let mut stranger = TcpStream::connect(rig.voter(0)).await.expect("it listens");
-    stranger.write_all(&frames::framed(&hello).expect("short")).await.expect("open");
+    stranger.write_all(&frames::encode(&hello).expect("short")).await.expect("open");
     let release = Message::Release { duty: "outs".into(), token: 1, who };
-    let _ = stranger.write_all(&frames::framed(&release).expect("short")).await;
+    let _ = stranger.write_all(&frames::encode(&release).expect("short")).await;
     let told = rig.wait(from, SOON, |seen| seen.code == "fleet_stranger").await.expect("it tells");
     assert_eq!((told.line["fleet"].as_str(), told.line["from"].as_str()), (Some("other"), Some("n1")));
     let mut end = Vec::new();
@@ -239,7 +239,7 @@
                 let length = (bytes.len() as u32).to_be_bytes();
                 bytes.splice(0..0, length).for_each(drop);
             }
-            2 => bytes = frames::framed(&hello).expect("short")[..7].to_vec(),
+            2 => bytes = frames::encode(&hello).expect("short")[..7].to_vec(),
             _ => {}
         }
         let _ = nonsense.write_all(&bytes).await;
--- a/crates/proxy/src/backends.rs
+++ b/crates/proxy/src/backends.rs
@@ -14,7 +14,7 @@
 use axum::http::{HeaderMap, HeaderValue, Request, Response, StatusCode, Uri};
 use bytes::Bytes;
 use crankpick::interface::{Ended, LoadReport};
-use crankpick_carry::run::Right;
+use crankpick_carry::run::SendPermission;
 use crankpick_http::fields::end_to_end;
 use hyper::body::Incoming;
 use hyper_util::client::legacy::connect::{capture_connection, CaptureConnection};
@@ -63,7 +63,7 @@
         answers: Arc<Pool>,
         connect_timeout: Duration,
         idle_close: Duration,
-        right: Option<Right>,
+        right: Option<SendPermission>,
     ) -> Self {
         // The client lets go of an idle connection before it ends itself, and that before the backend
         // would: so none ends under a request that was just written to it.
--- a/crates/proxy/src/connect.rs
+++ b/crates/proxy/src/connect.rs
@@ -12,7 +12,7 @@
 use std::task::{Context, Poll, Waker};
 use std::time::Duration;
 
-use crankpick_carry::run::Right;
+use crankpick_carry::run::SendPermission;
 use crankpick_http::stall::Stall;
 use hyper::Uri;
 use hyper_util::client::legacy::connect::{Connected, Connection};
@@ -35,7 +35,7 @@
     timeout: Duration,
     idle: Duration,
     /// In a fleet, how long anything may be sent.
-    right: Option<Right>,
+    right: Option<SendPermission>,
     pub places: Arc<Places>,
 }
 
@@ -143,7 +143,7 @@
 }
 
 impl Connector {
-    pub fn new(budget: usize, timeout: Duration, idle: Duration, right: Option<Right>) -> Self {
+    pub fn new(budget: usize, timeout: Duration, idle: Duration, right: Option<SendPermission>) -> Self {
         let (budget, links, places) = (Arc::new(Semaphore::new(budget)), Arc::default(), Arc::default());
         Connector { budget, links, timeout, idle, right, places }
     }
@@ -153,7 +153,7 @@
     }
 
     pub fn may_send(&self) -> bool {
-        self.right.as_ref().is_none_or(Right::lasts)
+        self.right.as_ref().is_none_or(SendPermission::is_valid)
     }
 
     /// No connection to this backend is used again.
@@ -273,7 +273,7 @@
     /// What an answer that has begun may pause: a few ways there and back, as opening takes.
     patience: Duration,
     ends: Pin<Box<Sleep>>,
-    right: Option<Right>,
+    right: Option<SendPermission>,
     places: Arc<Places>,
     _permit: OwnedSemaphorePermit,
 }
@@ -353,7 +353,7 @@
         };
         // Looked at last thing before the first byte: the process may have slept since the query was taken.
         let found = found.or_else(|| {
-            let may = self.right.as_ref().is_none_or(Right::lasts);
+            let may = self.right.as_ref().is_none_or(SendPermission::is_valid);
             (!may).then_some("cut_off")
         });
         // News may have come since the query was decided, or since this connection was begun.
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -10,7 +10,7 @@
 use crankpick::interface::Listed;
 use crankpick_carry::file::{self, FleetFile};
 use crankpick_carry::plan_file::Draft;
-use crankpick_carry::run::{self, Call, Handle, Right};
+use crankpick_carry::run::{self, Call, Handle, SendPermission};
 use crankpick_fleet::messages::{Ask, Publication, Told};
 use crankpick_fleet::observation::{BackendView, Quantized, View};
 use crankpick_fleet::state::{Command, Outcome};
@@ -59,8 +59,8 @@
         Ok(Fleet { handle: run::start(file.clone())?, file, names, zones })
     }
 
-    pub fn right(&self) -> Right {
-        self.handle.right.clone()
+    pub fn right(&self) -> SendPermission {
+        self.handle.send_permission.clone()
     }
 
     /// The fleet reckons with the longest that anything sent from here may take.
@@ -83,7 +83,7 @@
         loop {
             let wanted = *drain.borrow_and_update();
             stand.by_fleet(wanted);
-            self.handle.tell(Call::Empty(wanted && in_flight.empty()));
+            self.handle.tell(Call::Idle(wanted && in_flight.empty()));
             tokio::select! {
                 changed = drain.changed() => if changed.is_err() { return },
                 () = sleep(LOOK), if wanted => {}
@@ -110,7 +110,7 @@
         let version = taken.borrow_and_update().clone().map(|publication| outs.apply(&publication));
         // It may send once the fleet's part has heard that the version is acted on.
         let soon = Instant::now() + ACTED;
-        while heard && !self.handle.right.lasts() && Instant::now() < soon {
+        while heard && !self.handle.send_permission.is_valid() && Instant::now() < soon {
             sleep(SOON).await;
         }
         match (heard, version) {
@@ -124,7 +124,7 @@
             (false, Some(version)) => {
                 tracing::warn!(code = "fleet_unheard", version, "serves by the version on its own disk");
             }
-            (false, None) if !self.handle.right.lasts() => {
+            (false, None) if !self.handle.send_permission.is_valid() => {
                 tracing::warn!(code = "fleet_unheard", "turns queries away until the fleet is heard");
             }
             (false, None) => {
@@ -163,7 +163,7 @@
         loop {
             let now = *lifecycle.borrow_and_update();
             match now {
-                Lifecycle::Ending(_) => self.handle.tell(Call::End),
+                Lifecycle::Ending(_) => self.handle.tell(Call::PrepareExit),
                 now => self.handle.tell(Call::Willing(now.ready().is_ok())),
             }
             if lifecycle.changed().await.is_err() {
@@ -303,7 +303,7 @@
         drop(names);
         if news || busy != self.told.1 {
             self.told.1 = busy.clone();
-            self.handle.tell(Call::Acted { version: self.told.0, busy });
+            self.handle.tell(Call::VersionApplied { version: self.told.0, busy });
         }
     }
 
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use crankpick_carry::run::Right;
+use crankpick_carry::run::SendPermission;
 
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
@@ -72,11 +72,11 @@
 pub struct Stand {
     lifecycle: watch::Sender<Lifecycle>,
     wants: Arc<Mutex<Wants>>,
-    right: Option<Right>,
+    right: Option<SendPermission>,
 }
 
 impl Stand {
-    pub fn new(right: Option<Right>) -> Self {
+    pub fn new(right: Option<SendPermission>) -> Self {
         Stand { lifecycle: watch::Sender::new(Lifecycle::Serving), wants: Arc::default(), right }
     }
 
@@ -87,7 +87,7 @@
     /// Whether queries are to come here: not where nothing may be sent on.
     pub fn ready(&self) -> Result<(), String> {
         self.lifecycle.borrow().ready()?;
-        match self.right.as_ref().is_none_or(Right::lasts) {
+        match self.right.as_ref().is_none_or(SendPermission::is_valid) {
             true => Ok(()),
             false => Err("cut off from the fleet".into()),
         }
--- a/crates/proxy/src/query.rs
+++ b/crates/proxy/src/query.rs
@@ -12,7 +12,7 @@
 use axum::http::request::Parts;
 use axum::http::{HeaderMap, HeaderValue, Method, Response, StatusCode};
 use crankpick::interface::{Ended, Repeat};
-use crankpick_carry::run::Right;
+use crankpick_carry::run::SendPermission;
 use crankpick_http::framing::Came;
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
@@ -38,14 +38,14 @@
     /// Turns true when the process must end: what is still in hand gets its answer.
     pub ending: watch::Receiver<bool>,
     /// Whether this proxy may send anything to a backend, in a fleet.
-    pub right: Option<Right>,
+    pub right: Option<SendPermission>,
     /// What a client is told that is turned away for want of it; 0 where the settings allow no such word.
     pub come_back_us: u64,
 }
 
 pub async fn answer(State(proxy): State<Arc<Proxy>>, request: Request) -> Response<Body> {
     // Cut off from the fleet it may send nothing: said at once, before anything is taken.
-    if proxy.right.as_ref().is_some_and(|right| !right.lasts()) {
+    if proxy.right.as_ref().is_some_and(|right| !right.is_valid()) {
         return rejected(proxy.come_back_us);
     }
     let hold = proxy.decide.in_flight().map(|in_flight| in_flight.query());
