--- a/crates/launch/src/lib.rs
+++ b/crates/launch/src/lib.rs
@@ -1,5 +1,5 @@
-//! Turns what an instance is told at its start, and the entries of its list, into the core's types.
-//! Both hosts use it, so that a setting means the same on sockets as in the simulator.
+//! Converts an instance's settings and the entries of the backend list into the core's types. Both hosts use
+//! it, so that a setting has the same meaning on sockets as in the simulator.
 
 mod list;
 
@@ -12,12 +12,13 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// The value at `path`; what is absent takes its type's zero, and what is mistyped is named.
+/// The value at the dotted `path`. An absent value is its type's default; a value of the wrong type is an
+/// error that names the path.
 pub fn at<T: DeserializeOwned + Default>(conf: &Value, path: &str) -> Result<T, String> {
-    let place = path.split('.').try_fold(conf, |place, step| place.get(step));
-    match place {
+    let value_at_path = path.split('.').try_fold(conf, |value_at_path, step| value_at_path.get(step));
+    match value_at_path {
         None | Some(Value::Null) => Ok(T::default()),
-        Some(value) => T::deserialize(value).map_err(|wrong| format!("{path} in the settings: {wrong}")),
+        Some(value) => T::deserialize(value).map_err(|error| format!("{path} in the settings: {error}")),
     }
 }
 
@@ -30,9 +31,9 @@
     }
 }
 
-/// What may be repeated, workload by workload.
+/// The repeat policy of each workload.
 pub fn repeats(conf: &Value) -> Result<Vec<Repeat>, String> {
-    each(conf, "Workloads", "Repeat")?.into_iter().map(repeat).collect()
+    entry_values(conf, "Workloads", "Repeat")?.into_iter().map(repeat).collect()
 }
 
 fn workload(conf: &Value) -> Result<Workload, String> {
@@ -56,43 +57,47 @@
     Ok(Tenant { quota_per_s: at(conf, "QuotaRps")?, beyond_importance })
 }
 
-/// The value that every entry of the list at `path` has under `name`: the names of workloads, say.
-pub fn each<T: DeserializeOwned + Default>(conf: &Value, path: &str, name: &str) -> Result<Vec<T>, String> {
+/// The value of `name` in each entry of the list at `path`, for instance the names of the workloads.
+pub fn entry_values<T: DeserializeOwned + Default>(
+    conf: &Value,
+    path: &str,
+    name: &str,
+) -> Result<Vec<T>, String> {
     let entries: Vec<Value> = at(conf, path)?;
     entries.iter().map(|entry| at(entry, name)).collect()
 }
 
-/// A figure that can't be below zero; absent is zero.
-fn amount(conf: &Value, path: &str) -> Result<f64, String> {
+/// A finite, non-negative number; 0 if absent.
+fn non_negative(conf: &Value, path: &str) -> Result<f64, String> {
     let amount: f64 = at(conf, path)?;
     match amount.is_finite() && amount >= 0.0 {
         true => Ok(amount),
-        false => Err(format!("{path} in the settings: {amount} is below zero")),
+        false => Err(format!("{path} in the settings: {amount} is negative or not finite")),
     }
 }
 
-/// Absent settings leave a proxy that stands nowhere and asks nobody.
+/// Absent settings describe a proxy without a zone, probes or peers.
 pub fn standing(conf: &Value) -> Result<Standing, String> {
     let zone: Option<u32> = at(conf, "Zone")?;
     let zones: Vec<String> = at(conf, "Zones")?;
     if zone.is_some_and(|zone| zone as usize >= zones.len()) {
         return Err(format!("Zone in the settings: {} of {} Zones", zone.unwrap_or(0), zones.len()));
     }
-    // Where answers bring reports, probes would tell nothing new.
+    // If answers carry reports, probes would add no information.
     let via: String = at(conf, "Report.Via")?;
-    let untold = match via.as_str() {
+    let without_reports = match via.as_str() {
         "piggyback" | "" => false,
         "pull" | "silent" => true,
         other => return Err(format!("settings: unknown Report.Via {other:?}")),
     };
     Ok(Standing {
         zone,
-        crossing: amount(conf, "Prices.CrossZone")?,
-        connection: amount(conf, "Prices.Connection")? + amount(conf, "Prices.Handshake")?,
-        probes: at::<bool>(conf, "Limits.Probes")? && untold,
+        crossing: non_negative(conf, "Prices.CrossZone")?,
+        connection: non_negative(conf, "Prices.Connection")? + non_negative(conf, "Prices.Handshake")?,
+        probes: at::<bool>(conf, "Limits.Probes")? && without_reports,
         peers: at(conf, "Limits.Peers")?,
         only_draining_binds: at(conf, "Safety.RemovalNotBinding")?,
-        response_room: above_zero(conf, "Limits.ResponseRoom")?.map(|room| room as usize),
+        response_room: positive(conf, "Limits.ResponseRoom")?.map(|room| room as usize),
         ask_within_us: ask_within(conf)?,
         clocks: ClockError {
             deadline_us: at(conf, "Safety.DeadlineErrorUs")?,
@@ -102,50 +107,51 @@
     })
 }
 
-/// A count or time that means nothing at 0; absent is none.
-fn above_zero(conf: &Value, path: &str) -> Result<Option<u64>, String> {
+/// A count or duration for which 0 is not valid; None if absent.
+fn positive(conf: &Value, path: &str) -> Result<Option<u64>, String> {
     match at::<Option<u64>>(conf, path)? {
-        Some(0) => {
-            Err(format!("{path} in the settings: 0 is too few; leave it out where nothing is bounded"))
-        }
+        Some(0) => Err(format!("{path} in the settings: 0 is not allowed; leave it out for no limit")),
         other => Ok(other),
     }
 }
 
-/// Only who must ask for the list can have asked too long ago.
+/// Applies only with the `subscribe` discovery: a proxy that does not request the list cannot have an
+/// outdated request.
 fn ask_within(conf: &Value) -> Result<Option<u64>, String> {
     match at::<String>(conf, "Discovery")?.as_str() {
-        "subscribe" => above_zero(conf, "Safety.AskWithinUs"),
+        "subscribe" => positive(conf, "Safety.AskWithinUs"),
         _ => Ok(None),
     }
 }
 
-/// A part that counts needs the figure that it is counted by.
+/// The scoring goal. Each part with a positive weight needs the figure that it is measured by.
 fn goal(conf: &Value) -> Result<Goal, String> {
     let goal = Goal {
-        nines_part: amount(conf, "ScoringMix.NinesPart")?,
-        full_at_nines: amount(conf, "ScoringMix.FullAtNines")?,
-        slow_end: amount(conf, "ScoringMix.SlowEnd")?,
-        tail_slack: amount(conf, "ScoringMix.TailSlack")?,
+        nines_part: non_negative(conf, "ScoringMix.NinesPart")?,
+        full_at_nines: non_negative(conf, "ScoringMix.FullAtNines")?,
+        slow_end: non_negative(conf, "ScoringMix.SlowEnd")?,
+        tail_slack: non_negative(conf, "ScoringMix.TailSlack")?,
     };
     if goal.nines_part > 0.0 && goal.full_at_nines <= 0.0 {
-        return Err("ScoringMix.FullAtNines in the settings: NinesPart counts, so it must be above 0".into());
+        return Err("ScoringMix.FullAtNines in the settings: NinesPart is set, so it must be above 0".into());
     }
     if goal.slow_end > 0.0 && !(goal.tail_slack > 0.0 && goal.tail_slack < 1.0) {
         let slack = goal.tail_slack;
-        return Err(format!("ScoringMix.TailSlack in the settings: SlowEnd counts, and {slack} is no share"));
+        return Err(format!(
+            "ScoringMix.TailSlack in the settings: SlowEnd is set, and {slack} is not between 0 and 1"
+        ));
     }
     Ok(goal)
 }
 
-/// What queries may name, in the order of the settings.
+/// The workloads that queries may name, in the order of the settings.
 pub fn workloads(conf: &Value) -> Result<Vec<Workload>, String> {
     at::<Vec<Value>>(conf, "Workloads")?.iter().map(workload).collect()
 }
 
 pub fn tenants(conf: &Value) -> Result<Vec<Tenant>, String> {
-    let beyond: f64 = at(conf, "BeyondShareImportance")?;
-    at::<Vec<Value>>(conf, "Tenants")?.iter().map(|one| tenant(one, beyond)).collect()
+    let beyond_importance: f64 = at(conf, "BeyondShareImportance")?;
+    at::<Vec<Value>>(conf, "Tenants")?.iter().map(|one| tenant(one, beyond_importance)).collect()
 }
 
 pub fn limits(conf: &Value) -> Result<ExecutionLimits, String> {
@@ -158,11 +164,11 @@
     })
 }
 
-pub fn cold(conf: &Value) -> Result<ColdRule, String> {
+pub fn cold_rule(conf: &Value) -> Result<ColdRule, String> {
     let share: Option<f64> = at(conf, "Safety.ColdShare")?;
     let share = share.unwrap_or(1.0);
     if !(0.0..=1.0).contains(&share) {
-        return Err(format!("Safety.ColdShare in the settings: {share} is no share"));
+        return Err(format!("Safety.ColdShare in the settings: {share} is not between 0 and 1"));
     }
     Ok(ColdRule {
         start_capacity: at(conf, "Safety.StartCapacity")?,
@@ -184,7 +190,7 @@
         workloads(conf)?,
         tenants(conf)?,
         limits(conf)?,
-        cold(conf)?,
+        cold_rule(conf)?,
         discovery == "subscribe",
         standing(conf)?,
     ))
--- a/crates/launch/src/list.rs
+++ b/crates/launch/src/list.rs
@@ -1,9 +1,9 @@
-//! Entries of the list of backends, in the simulator's form and in discovery's.
+//! Entries of the backend list, in the simulator's form and in discovery's form.
 
 use crankpick::interface::{Listed, Phase};
 use serde::Deserialize;
 
-/// An entry as the simulator's wire has it.
+/// An entry in the simulator's wire format.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Entry {
@@ -34,7 +34,7 @@
     }
 }
 
-/// An entry as discovery has it. One that is gone may come with no more than its id and state.
+/// An entry in discovery's format. An entry that has been deleted may contain no more than its id and state.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Instance {
@@ -53,7 +53,7 @@
 }
 
 impl Instance {
-    /// `backend` is the number that this host has for the entry's id, `zones` the names in the settings.
+    /// `backend` is this host's number for the entry's id; `zones` are the zone names in the settings.
     pub fn listed(&self, backend: u32, zones: &[String]) -> Result<Listed, String> {
         let phase = match self.lifecycle.as_str() {
             "SERVING" => Phase::Ready,
@@ -61,7 +61,8 @@
             "DELETED" => Phase::Gone,
             other => return Err(format!("unknown lifecycle {other:?} of {}", self.instance_id)),
         };
-        // A zone on no list is one of its own: no proxy is in it, and no group of another reaches into it.
+        // A zone that is not in the settings becomes a zone of its own: no proxy is in it, and no other
+        // zone's group extends into it.
         let zone = zones.iter().position(|zone| *zone == self.zone).unwrap_or(zones.len());
         Ok(Listed {
             backend,
--- a/crates/launch/tests/settings.rs
+++ b/crates/launch/tests/settings.rs
@@ -1,17 +1,18 @@
-//! Settings as instances are told them: what is absent changes nothing, what is unsound is refused in one line.
+//! Settings as passed to instances: absent ones have no effect, and invalid ones are rejected with a one-line
+//! error.
 
 use crankpick::interface::{ClockError, Goal};
 use serde_json::{json, Value};
 
-/// The settings with the value at `path` set, or left out where there is none.
+/// The settings with the value at `path` set, or without it.
 fn settings(path: &str, value: Option<Value>) -> Value {
     let mut conf = json!({
         "Balancers": 2, "Discovery": "subscribe", "Limits": {"MaxExecutions": 2}, "Safety": {}, "ScoringMix": {},
         "Workloads": [{"Repeat": "retryable", "Importance": 1.0, "SloTimeUs": 1_000_000}],
     });
     let Some(value) = value else { return conf };
-    let (part, name) = path.split_once('.').expect("a part and a name");
-    conf[part][name] = value;
+    let (section, name) = path.split_once('.').expect("a part and a name");
+    conf[section][name] = value;
     conf
 }
 
@@ -24,11 +25,12 @@
 
 #[test]
 fn each_setting_reaches_the_module() {
-    let told = |path, value| crankpick_launch::standing(&settings(path, Some(value))).expect("sound");
-    assert_eq!(told("Limits.ResponseRoom", json!(7)).response_room, Some(7));
-    assert_eq!(told("Safety.AskWithinUs", json!(5_000_000)).ask_within_us, Some(5_000_000));
-    assert_eq!(told("Safety.DeadlineErrorUs", json!(600)).clocks.deadline_us, 600);
-    assert_eq!(told("Safety.StartDriftUs", json!(700)).clocks.start_us, 700);
+    let standing_with =
+        |path, value| crankpick_launch::standing(&settings(path, Some(value))).expect("sound");
+    assert_eq!(standing_with("Limits.ResponseRoom", json!(7)).response_room, Some(7));
+    assert_eq!(standing_with("Safety.AskWithinUs", json!(5_000_000)).ask_within_us, Some(5_000_000));
+    assert_eq!(standing_with("Safety.DeadlineErrorUs", json!(600)).clocks.deadline_us, 600);
+    assert_eq!(standing_with("Safety.StartDriftUs", json!(700)).clocks.start_us, 700);
     let mut conf = settings("ScoringMix.NinesPart", Some(json!(0.4)));
     conf["ScoringMix"]["FullAtNines"] = json!(3);
     conf["ScoringMix"]["SlowEnd"] = json!(0.2);
@@ -59,10 +61,12 @@
     ];
     for (path, value) in cases {
         let conf = settings(path, Some(value.clone()));
-        let refused = crankpick_launch::balancer(7, &conf).err().unwrap_or_default();
+        let error = crankpick_launch::balancer(7, &conf).err().unwrap_or_default();
         let name = if path.ends_with("SlowEnd") { "TailSlack" } else { path };
-        assert!(refused.contains(name) && !refused.contains('\n'), "{path} = {value}: {refused:?}");
+        assert!(error.contains(name) && !error.contains('\n'), "{path} = {value}: {error:?}");
     }
-    let counted = settings("ScoringMix.NinesPart", Some(json!(0.4)));
-    assert!(crankpick_launch::balancer(7, &counted).err().is_some_and(|wrong| wrong.contains("FullAtNines")));
+    let without_measure = settings("ScoringMix.NinesPart", Some(json!(0.4)));
+    assert!(crankpick_launch::balancer(7, &without_measure)
+        .err()
+        .is_some_and(|error| error.contains("FullAtNines")));
 }
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -6,7 +6,7 @@
 
 use axum::http::Uri;
 use crankpick::interface::Repeat;
-use crankpick_launch::{at, each};
+use crankpick_launch::{at, entry_values};
 use serde_json::Value;
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
@@ -39,15 +39,15 @@
     }
 
     pub fn new(settings: &Value, numbers: &[usize]) -> Result<Self, String> {
-        let names: Vec<String> = each(settings, "Workloads", "Name")?;
-        let timeouts: Vec<u64> = each(settings, "Workloads", "StatementTimeoutUs")?;
+        let names: Vec<String> = entry_values(settings, "Workloads", "Name")?;
+        let timeouts: Vec<u64> = entry_values(settings, "Workloads", "StatementTimeoutUs")?;
         let repeats = crankpick_launch::repeats(settings)?;
         let known = names.into_iter().zip(numbers).zip(repeats).zip(timeouts);
         let known = known.map(|(((name, number), repeat), timeout)| {
             let statement_timeout = said(timeout, STATEMENT);
             Known { name, number: *number, repeat, statement_timeout }
         });
-        Ok(Terms { workloads: known.collect(), tenants: each(settings, "Tenants", "Name")? })
+        Ok(Terms { workloads: known.collect(), tenants: entry_values(settings, "Tenants", "Name")? })
     }
 }
 
@@ -175,7 +175,7 @@
     }
     let (conf, discovery) = (settings(told)?, address(told, "discovery")?);
     let (workloads, tenants) = (crankpick_launch::workloads(conf)?, crankpick_launch::tenants(conf)?);
-    let (limits, cold) = (crankpick_launch::limits(conf)?, crankpick_launch::cold(conf)?);
+    let (limits, cold) = (crankpick_launch::limits(conf)?, crankpick_launch::cold_rule(conf)?);
     let numbers = decide.reload(workloads, tenants, limits, cold);
     Ok((Terms::new(conf, &numbers)?, discovery))
 }
