--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -101,7 +101,7 @@
         expired
     }
 
-    /// Gives up the duty for good under this token. Returns false if it was not held.
+    /// Gives up the duty permanently under this token. Returns false if it was not held.
     pub fn release(&mut self, duty: &str, token: u64) -> bool {
         let given_up = self.released.entry(duty.to_owned()).or_default();
         *given_up = (*given_up).max(token);
--- a/crates/fleet/src/node/persistence.rs
+++ b/crates/fleet/src/node/persistence.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The disk accepts writes again; `kept` is its contents, read anew.
+    /// The disk accepts writes again; `kept` is its contents, read again.
     pub fn disk_recovered(&mut self, now_us: u64, kept: PersistentState) {
         if self.disk_error.take().is_none() {
             return;
--- a/crates/fleet/src/session.rs
+++ b/crates/fleet/src/session.rs
@@ -252,7 +252,7 @@
         for (duty, token) in &answer.duties {
             // Gives back a duty that this process no longer wants. One that it has given back before is given
             // back again: if that message was lost, the fleet would otherwise regard this process as the
-            // owner for good.
+            // owner permanently.
             let given_up = self.leases.has_released(duty, *token);
             if given_up || !self.willing || self.superseded || !self.writable {
                 changes.released.push((duty.clone(), *token));
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -35,8 +35,8 @@
         duty: String,
         token: u64,
     },
-    /// Takes backends out of service fleet-wide, or puts them back. `id` tells a repeated call from a second
-    /// one.
+    /// Takes backends out of service fleet-wide, or puts them back. `id` distinguishes a repeated
+    /// call from a second one.
     Outs {
         id: u128,
         out: bool,
--- a/crates/fleet/tests/proof.rs
+++ b/crates/fleet/tests/proof.rs
@@ -20,7 +20,7 @@
     ProcessId { name: name.into(), incarnation: 1 }
 }
 
-/// A fleet with these proxies in which machine "m", or proxy "n1", is leaving under version 1. The first
+/// A fleet of these proxies in which machine "m", or proxy "n1", is leaving under version 1. The first
 /// proxy owns the work duty.
 fn leaving(is: MachineKind, proxies: &[(&str, SendPolicy)]) -> Fleet {
     let mut fleet = Fleet::default();
