--- a/crates/carry/src/file.rs
+++ b/crates/carry/src/file.rs
@@ -159,7 +159,8 @@
     let serves_unheard =
         text.serve_unheard.as_ref().map_or(!drains, |serves_unheard| *serves_unheard.get_ref());
     if drains && serves_unheard {
-        let why = "serve_unheard: a proxy that drains when it is cut off must not serve before it has heard the fleet";
+        let why =
+            "serve_unheard: a proxy that drains when cut off must not serve before it has heard the fleet";
         return at(text.serve_unheard.map_or(0..0, |serves_unheard| serves_unheard.span()), why.into());
     }
     Ok(FleetFile {
--- a/crates/carry/tests/power.rs
+++ b/crates/carry/tests/power.rs
@@ -156,7 +156,7 @@
     let mut cuts = 0;
     for cut in first..=ops.len() {
         for _ in 0..3 {
-            // All operations up to the last sync are kept; of those after it, any subset, possibly with torn writes.
+            // All operations up to the last sync are kept; of those after it, any subset, possibly torn.
             let synced = ops[..cut].iter().rposition(|op| matches!(op, DiskOp::Sync)).map_or(0, |at| at + 1);
             let mut bytes = Vec::new();
             ops[..synced].iter().for_each(|op| apply(&mut bytes, op, usize::MAX));
--- a/crates/fleet/src/consensus.rs
+++ b/crates/fleet/src/consensus.rs
@@ -100,7 +100,8 @@
             max_size_per_msg: MAX_MESSAGE_BYTES,
             max_inflight_msgs: 64,
             max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
-            // A leader without contact to a majority steps down, and an isolated voter does not disrupt the others.
+            // A leader without contact to a majority steps down, and an isolated voter does not disrupt
+            // the others.
             check_quorum: true,
             pre_vote: true,
             ..raft::Config::default()
--- a/crates/fleet/src/session.rs
+++ b/crates/fleet/src/session.rs
@@ -22,8 +22,8 @@
     pub leases: HeldLeases,
     fence: Fence,
     /// The committed version at the time of the first answer. All publications are ignored before that, and
-    /// older ones after it: what this process had accepted before a restart may not have reached its disk, and
-    /// an old publication would revert it.
+    /// older ones after it: what this process had accepted before a restart may not have reached its disk,
+    /// and an old publication would revert it.
     min_version: Option<u64>,
     pub taken: Option<Publication>,
     pub acted: u64,
