--- a/crates/carry/tests/serialized_format.rs
+++ b/crates/carry/tests/serialized_format.rs
@@ -1,25 +1,30 @@
-//! The serialized form of the old fleet's frames and of what its store holds, against bytes that were written before.
+//! Checks the serialized form of the old fleet's frames and stored values against recorded bytes.
 //!
-//! Frames and stored values are `postcard`: fields and variants by their order, names don't count. A moved variant or
-//! field breaks an upgrade and this test. `BLESS_FIXTURES=1` records the bytes anew after an intended change.
+//! Both are encoded with `postcard`, which identifies fields and variants by their order, not by their names.
+//! Moving a field or variant breaks upgrades and this test. After an intended change, `BLESS_FIXTURES=1`
+//! records the bytes anew.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crankpick_carry::frames::{framed, read};
-use crankpick_fleet::sight::{Coarse, Objection, Seen, Sees, Sight, Summed, View};
-use crankpick_fleet::state::{Command, Current, Duty, Fleet, Outcome};
-use crankpick_fleet::words::{
-    Ask, Desk, MemberStatus, Publication, Renewal, Renewed, Seat, Status, Told, Who, Word,
+use crankpick_carry::frames::{encode, read};
+use crankpick_fleet::messages::{
+    Ask, MemberStatus, Message, ProcessId, Publication, Renewal, Renewed, Seat, Status, Told, WorkContext,
+};
+use crankpick_fleet::observation::{
+    BackendSummary, BackendView, FleetView, Objection, ProxyReport, Quantized, View,
+};
+use crankpick_fleet::state::{Command, CurrentSession, Duty, Fleet, Outcome};
+use crankpick_fleet::work::{
+    Bounds, DepartedProxy, Machine, MachineKind, Order, Plan, Say, SendPolicy, Stage, Step, Work,
 };
-use crankpick_fleet::work::{Absent, Bounds, Is, Machine, Order, Plan, Say, Stage, Step, Terms, Work};
 use crankpick_test_support::Fixtures;
 
-fn who() -> Who {
-    Who { name: "n1".into(), incarnation: 0x1234_5678_9abc }
+fn who() -> ProcessId {
+    ProcessId { name: "n1".into(), incarnation: 0x1234_5678_9abc }
 }
 
-fn terms() -> Terms {
-    Terms { drains: true, waits: false, longest_us: 2_500_000 }
+fn terms() -> SendPolicy {
+    SendPolicy { drains: true, waits: false, longest_us: 2_500_000 }
 }
 
 fn publication() -> Publication {
@@ -49,7 +54,7 @@
     }
 }
 
-/// One machine of each stage.
+/// A plan with one machine at each stage.
 fn plan() -> Plan {
     let stages = [
         Stage::Proposed,
@@ -66,7 +71,7 @@
         Stage::Cancelled,
     ];
     let machine = |index: usize, stage| Machine {
-        is: if index.is_multiple_of(2) { Is::Backend } else { Is::Proxy },
+        is: if index.is_multiple_of(2) { MachineKind::Backend } else { MachineKind::Proxy },
         zone: "a".into(),
         cell: 3,
         votes: index == 1,
@@ -91,7 +96,7 @@
     }
 }
 
-/// Its count of plans taken is private: it stays at its default.
+/// The number of plans added so far is private and stays at its default.
 fn work() -> Work {
     let mut work = Work::default();
     work.revision = 23;
@@ -99,9 +104,9 @@
     work
 }
 
-fn sight() -> Sight {
-    let summed = Summed { zone: "a".into(), cell: 3, load: 1.5, max: 8.25, by: 5, lost_by: 1 };
-    Sight {
+fn sight() -> FleetView {
+    let summed = BackendSummary { zone: "a".into(), cell: 3, load: 1.5, max: 8.25, by: 5, lost_by: 1 };
+    FleetView {
         backends: BTreeMap::from([("s-1".into(), summed)]),
         proxies: 9,
         in_touch: 8,
@@ -109,7 +114,7 @@
         queries: 1_000.5,
         rejected: 0.25,
         silent: vec!["n9".into()],
-        ..Sight::default()
+        ..FleetView::default()
     }
 }
 
@@ -165,14 +170,20 @@
 }
 
 fn renewal() -> Renewal {
-    let sees = Sees { zone: "a".into(), cell: 3, load: Coarse::of(2.0), max: Coarse::of(9.0), lost: true };
+    let sees = BackendView {
+        zone: "a".into(),
+        cell: 3,
+        load: Quantized::of(2.0),
+        max: Quantized::of(9.0),
+        lost: true,
+    };
     let view = View {
         backends: BTreeMap::from([("s-1".into(), sees)]),
-        queries: Coarse::of(100.0),
-        rejected: Coarse::of(1.0),
+        queries: Quantized::of(100.0),
+        rejected: Quantized::of(1.0),
     };
     let objection = Objection { machine: "s-1".into(), why: "strained".into(), for_us: 31 };
-    let seen = Seen {
+    let seen = ProxyReport {
         revision: 23,
         objections: vec![objection],
         busy: BTreeSet::from(["s-2".into()]),
@@ -208,7 +219,7 @@
         leader: "n2".into(),
         next: Some((23, vec!["s-3".into()])),
         drained: true,
-        work: Some(Box::new(Desk { revision: 23, work: Some(work()), sight: sight() })),
+        work: Some(Box::new(WorkContext { revision: 23, work: Some(work()), sight: sight() })),
     }
 }
 
@@ -232,62 +243,62 @@
         duties: BTreeMap::from([("outs".into(), (Some("n1".into()), 7))]),
         members: vec![member],
         unheard: vec!["n3".into()],
-        absent: vec![Absent { who: who(), terms: terms(), parted: true }],
+        absent: vec![DepartedProxy { who: who(), terms: terms(), parted: true }],
     }
 }
 
-fn words() -> Vec<(String, Word)> {
+fn messages() -> Vec<(String, Message)> {
     let (call, duty) = (61, "outs".to_owned());
-    let ask = |ask| Word::Ask { who: who(), call, ask };
-    let told = |told| Word::Told { who: who(), call, told };
-    let mut words = vec![
-        ("hello".into(), Word::Hello { fleet: "f".into(), who: who(), voter: true }),
-        ("beat".into(), Word::Beat),
+    let ask = |ask| Message::Ask { who: who(), call, ask };
+    let told = |told| Message::Told { who: who(), call, told };
+    let mut messages = vec![
+        ("hello".into(), Message::Hello { fleet: "f".into(), who: who(), voter: true }),
+        ("beat".into(), Message::Beat),
         (
             "seat".into(),
-            Word::Seat(Seat { id: 9, roster: Some(BTreeMap::from([("n1".into(), 9)])), started: true }),
+            Message::Seat(Seat { id: 9, roster: Some(BTreeMap::from([("n1".into(), 9)])), started: true }),
         ),
-        ("agree".into(), Word::Agree(vec![0, 1, 0xff])),
-        ("renew".into(), Word::Renew(renewal())),
-        ("renewed".into(), Word::Renewed(renewed())),
-        ("nudge".into(), Word::Nudge(who())),
-        ("release".into(), Word::Release { duty: duty.clone(), token: 7, who: who() }),
+        ("agree".into(), Message::Agree(vec![0, 1, 0xff])),
+        ("renew".into(), Message::Renew(renewal())),
+        ("renewed".into(), Message::Renewed(renewed())),
+        ("nudge".into(), Message::Nudge(who())),
+        ("release".into(), Message::Release { duty: duty.clone(), token: 7, who: who() }),
         ("ask-status".into(), ask(Ask::Status)),
         ("ask-work".into(), ask(Ask::Work)),
         ("told-status".into(), told(Told::Status(Box::new(status())))),
         ("told-work".into(), told(Told::Work(Box::new((work(), sight()))))),
         ("told-not-now".into(), told(Told::NotNow("nobody leads".into()))),
-        ("publish".into(), Word::Publish { publication: publication(), passed: true }),
-        ("stale".into(), Word::Stale { duty, token: 7, seen: 8 }),
-        ("away".into(), Word::Away),
-        ("part".into(), Word::Part(who())),
+        ("publish".into(), Message::Publish { publication: publication(), passed: true }),
+        ("stale".into(), Message::Stale { duty, token: 7, seen: 8 }),
+        ("away".into(), Message::Away),
+        ("part".into(), Message::Part(who())),
     ];
-    words.extend(
+    messages.extend(
         commands().into_iter().map(|(name, command)| (format!("ask-{name}"), ask(Ask::Command(command)))),
     );
     for (index, outcome) in outcomes().into_iter().enumerate() {
-        words.push((format!("told-outcome-{index}"), told(Told::Done(outcome))));
+        messages.push((format!("told-outcome-{index}"), told(Told::Done(outcome))));
     }
-    words
+    messages
 }
 
 /// Fails to compile when a variant is added, which needs a sample above.
-fn variant(word: &Word) -> usize {
-    match word {
-        Word::Hello { .. } => 0,
-        Word::Beat => 1,
-        Word::Seat(_) => 2,
-        Word::Agree(_) => 3,
-        Word::Renew(_) => 4,
-        Word::Renewed(_) => 5,
-        Word::Nudge(_) => 6,
-        Word::Release { .. } => 7,
-        Word::Ask { .. } => 8,
-        Word::Told { .. } => 9,
-        Word::Publish { .. } => 10,
-        Word::Stale { .. } => 11,
-        Word::Away => 12,
-        Word::Part(_) => 13,
+fn variant(message: &Message) -> usize {
+    match message {
+        Message::Hello { .. } => 0,
+        Message::Beat => 1,
+        Message::Seat(_) => 2,
+        Message::Agree(_) => 3,
+        Message::Renew(_) => 4,
+        Message::Renewed(_) => 5,
+        Message::Nudge(_) => 6,
+        Message::Release { .. } => 7,
+        Message::Ask { .. } => 8,
+        Message::Told { .. } => 9,
+        Message::Publish { .. } => 10,
+        Message::Stale { .. } => 11,
+        Message::Away => 12,
+        Message::Part(_) => 13,
     }
 }
 
@@ -297,35 +308,37 @@
 
 #[tokio::test]
 async fn every_word_keeps_its_frame() {
-    let words = words();
-    let variants: BTreeSet<usize> = words.iter().map(|(_, word)| variant(word)).collect();
+    let messages = messages();
+    let variants: BTreeSet<usize> = messages.iter().map(|(_, message)| variant(message)).collect();
     assert_eq!(variants, (0..14).collect(), "each variant has a sample");
-    let written: Vec<_> =
-        words.iter().map(|(name, word)| (name.clone(), framed(word).expect("short enough"))).collect();
-    let recorded = fixtures().assert_hex_lines("words.hex", &written);
-    for (recorded, (name, word)) in recorded.iter().zip(&words) {
+    let encoded: Vec<_> = messages
+        .iter()
+        .map(|(name, message)| (name.clone(), encode(message).expect("short enough")))
+        .collect();
+    let recorded = fixtures().assert_hex_lines("words.hex", &encoded);
+    for (recorded, (name, message)) in recorded.iter().zip(&messages) {
         let decoded = read(&mut &recorded[..], &mut Vec::new()).await.expect("a recorded frame is read");
-        assert_eq!(&decoded, word, "{name}: read as another value");
+        assert_eq!(&decoded, message, "{name}: read as another value");
     }
 }
 
-/// What the store holds beside the log of the consensus engine, and the state that its snapshots hold.
+/// The values that the store holds beside the Raft log, and the state contained in its snapshots.
 #[test]
 fn stored_values_keep_their_form() {
-    let mut fleet = Fleet::founded(BTreeMap::from([("n1".into(), 9), ("n2".into(), 10)]));
-    fleet.sessions.insert("n1".into(), Current { incarnation: 5, terms: terms() });
-    fleet.absent.insert("n9".into(), Absent { who: who(), terms: terms(), parted: false });
+    let mut fleet = Fleet::with_voters(BTreeMap::from([("n1".into(), 9), ("n2".into(), 10)]));
+    fleet.sessions.insert("n1".into(), CurrentSession { incarnation: 5, terms: terms() });
+    fleet.absent.insert("n9".into(), DepartedProxy { who: who(), terms: terms(), parted: false });
     fleet.duties.insert("outs".into(), Duty { owner: Some(who()), token: 7 });
     fleet.outs.insert("s-1".into());
     fleet.work = work();
     fleet.version = 19;
     let roster = fleet.seats.clone();
-    let written = vec![
+    let encoded = vec![
         ("taken".to_owned(), postcard::to_stdvec(&publication()).unwrap()),
         ("roster".to_owned(), postcard::to_stdvec(&roster).unwrap()),
         ("fleet".to_owned(), postcard::to_stdvec(&fleet).unwrap()),
     ];
-    let recorded = fixtures().assert_hex_lines("stored.hex", &written);
+    let recorded = fixtures().assert_hex_lines("stored.hex", &encoded);
     assert_eq!(postcard::from_bytes::<Publication>(&recorded[0]).unwrap(), publication());
     assert_eq!(postcard::from_bytes::<BTreeMap<String, u64>>(&recorded[1]).unwrap(), roster);
     assert_eq!(postcard::from_bytes::<Fleet>(&recorded[2]).unwrap(), fleet);
--- a/crates/fleet/src/node/persistence.rs
+++ b/crates/fleet/src/node/persistence.rs
@@ -1,15 +1,16 @@
-//! The disk: what must be written before the node says anything, and what happens when writes fail.
+//! Persistence: what must be written before any output is released, and the handling of write failures.
 
-use crate::kept::{Batch, Disk, Kept};
-use crate::words::Word;
+use crate::messages::Message;
+use crate::storage::{Batch, Disk, PersistentState};
 
 use super::{Event, Link, Node, Output};
 
-/// Rounds of agreement in one call: proposals and what comes of them bring one another on.
-const MOST_ROUNDS: usize = 8;
+/// Maximum number of consensus rounds in one call to `pump`, since proposals and their outcomes trigger one
+/// another.
+const MAX_ROUNDS: usize = 8;
 
 impl Node {
-    /// Carries everything as far as it goes now; what is to be done then comes from `take_outputs`.
+    /// Advances everything as far as possible now. The resulting outputs are returned by `take_outputs`.
     pub fn pump(&mut self, now_us: u64, disk: &mut dyn Disk) {
         if self.disk_error.is_some() {
             return;
@@ -21,16 +22,16 @@
 
     fn try_pump(&mut self, now_us: u64, disk: &mut dyn Disk) -> Result<(), String> {
         self.write_publication(disk)?;
-        self.advance_founding(now_us, disk)?;
-        for _ in 0..MOST_ROUNDS {
-            if !self.advance_agreement(now_us, disk)? {
+        self.advance_log_creation(now_us, disk)?;
+        for _ in 0..MAX_ROUNDS {
+            if !self.advance_consensus(now_us, disk)? {
                 break;
             }
         }
         Ok(())
     }
 
-    /// Writes the publication taken last. If that fails it is kept for the next try.
+    /// Persists the publication accepted last. On failure it is kept for the next attempt.
     fn write_publication(&mut self, disk: &mut dyn Disk) -> Result<(), String> {
         let Some(publication) = self.unwritten.take() else { return Ok(()) };
         let version = publication.version;
@@ -45,12 +46,12 @@
         Ok(())
     }
 
-    /// One round of agreement; whether there may be more to do.
-    fn advance_agreement(&mut self, now_us: u64, disk: &mut dyn Disk) -> Result<bool, String> {
-        let Some(agreement) = self.agreement_mut() else { return Ok(false) };
-        let progress = agreement.pump(disk)?;
+    /// One round of consensus. Returns whether there may be more to do.
+    fn advance_consensus(&mut self, now_us: u64, disk: &mut dyn Disk) -> Result<bool, String> {
+        let Some(consensus) = self.consensus_mut() else { return Ok(false) };
+        let progress = consensus.pump(disk)?;
         for (voter, message) in progress.messages {
-            self.send_agreement(voter, message);
+            self.send_consensus(voter, message);
         }
         for name in progress.replaced {
             self.event(Event::VoterReplaced { name });
@@ -67,28 +68,28 @@
         Ok(advanced)
     }
 
-    fn send_agreement(&mut self, voter: u64, message: Vec<u8>) {
-        let name = self.agreement().and_then(|agreement| agreement.name(voter)).map(str::to_owned);
+    fn send_consensus(&mut self, voter: u64, message: Vec<u8>) {
+        let name = self.consensus().and_then(|consensus| consensus.voter_name(voter)).map(str::to_owned);
         if let Some(name) = name {
-            self.send(Link::Voter(name), Word::Agree(message));
+            self.send(Link::Voter(name), Message::Agree(message));
         }
     }
 
-    /// The disk takes writes again; this is what it holds, read anew.
-    pub fn disk_recovered(&mut self, now_us: u64, kept: Kept) {
+    /// The disk accepts writes again; `kept` is its contents, read again.
+    pub fn disk_recovered(&mut self, now_us: u64, kept: PersistentState) {
         if self.disk_error.take().is_none() {
             return;
         }
         self.session.writable = true;
         self.event(Event::DiskRecovered);
-        // What was taken meanwhile is not there yet.
+        // What was accepted in the meantime has not been written yet.
         self.unwritten = self.session.taken.clone().filter(|taken| kept.taken.as_ref() != Some(taken));
         self.load(now_us, kept);
-        self.session.hurry(now_us);
+        self.session.renew_now(now_us);
     }
 
-    /// The disk can't be had, at the start or later: this process stops voting and owning, and says so, so that
-    /// another that can write goes on at once.
+    /// The disk is not available, at the start or later. This process stops voting and owning duties, and
+    /// announces it, so that a process that can write takes over at once.
     pub fn disk_failed(&mut self, why: String) {
         if self.disk_error.is_none() {
             self.event(Event::DiskFailed { why: why.clone() });
@@ -100,11 +101,11 @@
         self.voter = None;
         let hello = self.hello();
         self.outputs.push_back(Output::Hello(hello));
-        let released = self.session.let_go_all(u64::MIN);
+        let released = self.session.release_all(u64::MIN);
         self.report_released(released);
-        self.session.hurry(0);
+        self.session.renew_now(0);
         for conn in self.peers.keys() {
-            self.outputs.push_back(Output::Send(Link::Conn(*conn), Word::Away));
+            self.outputs.push_back(Output::Send(Link::Conn(*conn), Message::Away));
         }
     }
 }
