--- a/crates/gateway/src/backend_pool.rs
+++ b/crates/gateway/src/backend_pool.rs
@@ -1,4 +1,5 @@
-//! Connections to backends: kept while they rest, no more to one backend than this gateway's share.
+//! Pool of connections to backends: reuses idle connections and limits each backend to this gateway's
+//! share.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -18,23 +19,23 @@
 
 use crate::backend_stream::{BackendStream, LinkState};
 
-/// How long the kernel tries to bring bytes across before it gives a connection up.
+/// How long transmitted data may remain unacknowledged before the kernel closes the connection.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Of what a connection reads at once.
+/// Maximum size of a connection's read buffer.
 const MAX_READ_BUFFER: usize = 64 << 10;
-/// The part of a backend's connections that all gateways together use.
+/// Fraction of a backend's connection limit that all gateways use together.
 const USABLE_FRACTION: f64 = 0.9;
 
-/// Why there is no connection.
+/// Why no connection is available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectError {
-    /// This gateway's share of the backend's connections, or its own budget, is in use.
+    /// This gateway's share of the backend's connections, or its own limit, is in use.
     LimitReached,
-    /// It did not come up.
+    /// The connection could not be established.
     Unreachable,
 }
 
-/// A connection to a backend, in the hands of one request.
+/// A connection to a backend that is assigned to one request.
 pub(crate) struct BackendConnection {
     pub sender: SendRequest<Full<Bytes>>,
     pub link: Arc<LinkState>,
@@ -49,7 +50,7 @@
 
 #[derive(Default)]
 struct Pool {
-    /// The last is the one that was used last.
+    /// Ordered by last use, most recent last.
     idle: Vec<IdleConnection>,
     open: Arc<AtomicUsize>,
 }
@@ -61,7 +62,7 @@
     pools: Mutex<BTreeMap<Arc<str>, Pool>>,
 }
 
-/// One connection's place among those open.
+/// Counts an open connection until it is dropped.
 struct ConnectionPermit {
     total: Arc<AtomicUsize>,
     per_backend: Arc<AtomicUsize>,
@@ -89,27 +90,28 @@
         self.pools.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lets go of what rests towards backends that get nothing more.
+    /// Drops idle connections to backends that receive no more requests.
     pub fn keep_only(&self, backends: &BackendTable) {
         let receiving = backends.iter().filter(|record| record.may_receive());
         let receiving: BTreeSet<&str> = receiving.map(|record| record.id.as_str()).collect();
         self.lock().retain(|id, _| receiving.contains(&**id));
     }
 
-    /// A connection that rests, the one that was used last.
+    /// Takes the most recently used idle connection.
     pub fn take_idle(&self, id: &str) -> Option<BackendConnection> {
         let mut pools = self.lock();
         let idle = &mut pools.get_mut(id)?.idle;
         let now = Instant::now();
         idle.retain(|idle| idle.until > now && !idle.connection.sender.is_closed());
-        // Ready only once all of the request before is written: an early answer may have come ahead of its body's end.
+        // A connection becomes ready only after the previous request has been written completely: an early
+        // response may arrive before the end of that request's body.
         let index = idle.iter().rposition(|idle| idle.connection.sender.is_ready())?;
         let connection = idle.remove(index).connection;
         connection.link.begin_reuse();
         Some(connection)
     }
 
-    /// A connection whose answer was read to its end rests for so long.
+    /// Returns a connection whose response has been read completely; it is reusable for `reusable_for`.
     pub fn release(&self, connection: BackendConnection, reusable_for: Duration) {
         if let Some(pool) = self.lock().get_mut(&connection.id) {
             let since = Instant::now();
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Opens one, at most `share` to this backend.
+    /// Opens a connection, up to `share` to this backend.
     pub async fn open(
         &self,
         id: &Arc<str>,
@@ -133,7 +135,7 @@
         let handshake = http1::Builder::new().max_buf_size(MAX_READ_BUFFER).handshake(io).await;
         let (sender, driver) = handshake.map_err(|_| ConnectError::Unreachable)?;
         tokio::spawn(async move {
-            // What becomes of it its request hears.
+            // Errors are reported to the request through its sender.
             let _ = driver.await;
             drop(permit);
         });
--- a/crates/gateway/src/backend_stream.rs
+++ b/crates/gateway/src/backend_stream.rs
@@ -1,5 +1,5 @@
-//! A connection to a backend as hyper drives it: looked into before it is used again, and known to have
-//! carried a byte of the request in hand or not.
+//! The byte stream of a backend connection as driven by hyper. It is checked before reuse, and records
+//! whether any byte of the current request has been written.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -14,37 +14,37 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// How long a backend may take nothing of a request.
+/// How long a backend may read nothing of a request.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// What is known of one connection, shared by the wire and whoever sends on it.
+/// State of a connection, shared by its stream and the sender of requests.
 #[derive(Debug, Default)]
 pub(crate) struct LinkState {
-    /// Whether a byte of the request in hand was written.
+    /// Whether a byte of the current request has been written.
     request_started: AtomicBool,
-    /// Whether it has carried a request before.
+    /// Whether the connection has carried an earlier request.
     reused: AtomicBool,
 }
 
 impl LinkState {
-    /// A request is handed to a connection that has rested.
+    /// Assigns a new request to an idle connection.
     pub fn begin_reuse(&self) {
         self.request_started.store(false, Ordering::Relaxed);
         self.reused.store(true, Ordering::Relaxed);
     }
 
-    /// Whether a byte of the request in hand was written: if not, nothing can have run.
+    /// Whether a byte of the current request has been written. If not, it cannot have been executed.
     pub fn request_started(&self) -> bool {
         self.request_started.load(Ordering::Relaxed)
     }
 
-    /// Whether it has carried a request before.
+    /// Whether the connection has carried an earlier request.
     pub fn is_reused(&self) -> bool {
         self.reused.load(Ordering::Relaxed)
     }
 }
 
-/// A connection to a backend.
+/// The byte stream of a backend connection.
 pub(crate) struct BackendStream {
     stream: TcpStream,
     stall: Stall,
@@ -56,8 +56,8 @@
         BackendStream { stream, stall: Stall::new(WRITE_STALL_TIMEOUT), link }
     }
 
-    /// Before a request's first byte on a kept connection: whatever came behind the last answer would pass for
-    /// this one's, and what the other side has closed takes no more.
+    /// Checks a reused connection before the first byte of a request: leftover data after the previous
+    /// response would be taken for this one, and a connection closed by the peer accepts no request.
     fn check_before_reuse(&self) -> io::Result<()> {
         if self.link.request_started() || !self.link.is_reused() {
             return Ok(());
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! Clients' bodies, read whole in bounded memory.
+//! Reads client request bodies completely, in bounded memory.
 
 use std::future::poll_fn;
 use std::pin::Pin;
@@ -13,26 +13,26 @@
 
 use crate::refusal::Refusal;
 
-/// What takes no place in the memory: connections are bounded.
+/// Size of one memory permit. Bodies up to this size need none, since the number of connections is bounded.
 const PERMIT_BYTES: usize = 16 << 10;
 
-/// The most that is read of a body that nobody needs.
+/// Maximum number of bytes read of a body that is discarded.
 const MAX_DISCARDED_BYTES: u64 = 256 << 10;
 
-/// The memory for what is not small, in places of `SMALL` bytes.
+/// Memory budget for larger bodies, in permits of `PERMIT_BYTES`.
 pub(crate) struct BodyMemory {
     permits: Arc<Semaphore>,
 }
 
-/// What may be read of a body.
+/// Limits for reading a body.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BodyLimits {
     pub max_bytes: u64,
-    /// How long it may stand still.
+    /// Maximum time without progress.
     pub stall_timeout: Duration,
 }
 
-/// A whole body with its places in the memory.
+/// A completely read body with its memory permits.
 pub(crate) struct BufferedBody {
     pub bytes: Bytes,
     _permits: Option<OwnedSemaphorePermit>,
@@ -60,7 +60,7 @@
         Ok(())
     }
 
-    /// Reads a body whole, or says why not.
+    /// Reads a body completely, or returns why it is refused.
     pub async fn read(&self, mut body: Incoming, limits: BodyLimits) -> Result<BufferedBody, Refusal> {
         let mut permits = None;
         let announced = body.size_hint();
@@ -77,7 +77,7 @@
                 Ok(Some(Err(_))) => return Err(Refusal::BodyBrokenOff),
                 Ok(Some(Ok(frame))) => frame,
             };
-            // Trailers stay behind: they belong to the hop that they came on.
+            // Trailers are dropped: they belong to the hop on which they were received.
             let Ok(data) = frame.into_data() else { continue };
             let length = read.len() + data.len();
             if length as u64 > limits.max_bytes {
@@ -92,7 +92,8 @@
     }
 }
 
-/// Reads a body that nobody needs, so that its connection can serve on, for so long at most. Whether all of it came.
+/// Reads and discards a body for up to `time_limit`, so that its connection can be reused. Returns whether
+/// all of it was received.
 pub(crate) async fn discard(body: Incoming, time_limit: Duration) -> bool {
     timeout(time_limit, read_to_end(body)).await.unwrap_or(false)
 }
--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -1,4 +1,4 @@
-//! A client's connection as hyper drives it, and what is known of it meanwhile.
+//! A client connection as driven by hyper, and its state.
 
 use std::io;
 use std::net::Shutdown;
@@ -21,32 +21,33 @@
 use crate::keep_alive::enforced_idle_timeout;
 use crate::lingering_close::has_unread;
 
-/// Against clients that don't read their answers.
+/// Write timeout against clients that do not read their responses.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Within which the first request of a connection is on its way: who connects asks right away.
+/// Time within which the first request of a new connection is expected: clients send it right after
+/// connecting.
 const FIRST_REQUEST_WINDOW: Duration = Duration::from_secs(1);
 
-/// What a connection does between two requests.
+/// Idle state of a connection between two requests.
 #[derive(Clone, Copy)]
 struct IdleState {
-    /// None while a request is in hand.
+    /// When the connection became idle; `None` while a request is in flight.
     since: Option<Instant>,
-    /// How long its client was told by the last answer that it may rest.
+    /// Idle time announced to the client by the last response.
     announced: Option<Duration>,
 }
 
-/// One connection of a client.
+/// A client connection.
 pub(crate) struct Client {
     pub stream: TcpStream,
-    /// Told to end to make room.
+    /// Notified when the connection is to be closed to make room.
     pub evicted: Notify,
     accepted: Instant,
     request_seen: AtomicBool,
     evict_requested: AtomicBool,
-    /// Whether it ends as soon as no request is in hand.
+    /// Whether the connection closes as soon as no request is in flight.
     closing: AtomicBool,
-    /// Whether some of an answer could not be written yet.
+    /// Whether part of a response could not be written yet.
     write_pending: AtomicBool,
     idle_state: Mutex<IdleState>,
     framing: Mutex<Framing>,
@@ -80,12 +81,12 @@
         self.idle_state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Its answer announces how long it may rest; none where it announces the end.
+    /// Records the idle time announced by a response; `None` if it announces the close.
     pub fn set_announced_idle(&self, announced: Option<Duration>) {
         self.idle_state().announced = announced;
     }
 
-    /// Whether it rests, and its client may still believe that it is kept.
+    /// Whether the connection is idle and its client may still expect it to be open.
     pub fn is_within_announced_idle(&self) -> bool {
         let idle_state = *self.idle_state();
         idle_state
@@ -94,20 +95,20 @@
             .is_some_and(|(since, announced)| since.elapsed() < announced)
     }
 
-    /// Whether a request that was read has no answer, and no answer before it announced the end.
+    /// Whether a request was read that has no response, and no earlier response announced the close.
     pub fn is_unanswered(&self) -> bool {
         let idle_state = *self.idle_state();
         idle_state.since.is_none()
             || (idle_state.announced.is_some() && self.framing().next_request().is_some())
     }
 
-    /// A request is in hand.
+    /// Marks a request as in flight.
     pub fn request_started(&self) {
         self.request_seen.store(true, Ordering::Relaxed);
         self.idle_state().since = None;
     }
 
-    /// Its answer is done with.
+    /// Marks the request as finished, which starts the idle time.
     pub fn request_finished(&self) {
         self.idle_state().since = Some(Instant::now());
     }
@@ -116,12 +117,12 @@
         self.request_seen.load(Ordering::Relaxed)
     }
 
-    /// Whether its first request may be on its way.
+    /// Whether the first request may still be in transit.
     pub fn awaits_first_request(&self) -> bool {
         !self.has_sent_request() && self.accepted.elapsed() < FIRST_REQUEST_WINDOW
     }
 
-    /// Tells it once to end, to make room.
+    /// Requests once that the connection be closed to make room.
     pub fn evict(&self) {
         if !self.evict_requested.swap(true, Ordering::Relaxed) {
             self.evicted.notify_one();
@@ -132,17 +133,17 @@
         self.evict_requested.load(Ordering::Relaxed)
     }
 
-    /// It ends as soon as no request is in hand.
+    /// Closes the connection as soon as no request is in flight.
     pub fn close_after_request(&self) {
         self.closing.store(true, Ordering::Relaxed);
     }
 
-    /// Whether it ends behind the answer to the request in hand.
+    /// Whether the connection closes after the response to the current request.
     pub fn is_closing(&self) -> bool {
         self.is_evicted() || self.closing.load(Ordering::Relaxed)
     }
 
-    /// When it will have taken too long over a head, or rested for too long; none while a request is in hand.
+    /// When the client will have exceeded the header or idle timeout; `None` while a request is in flight.
     pub fn deadline(&self, limits: &ClientLimits) -> Option<Instant> {
         let idle_state = *self.idle_state();
         let since = idle_state.since.filter(|_| !self.has_pending_write())?;
@@ -151,24 +152,26 @@
         Some(head.map_or(since + idle_limit, |head| head + limits.header_timeout))
     }
 
-    /// Whether nothing is in hand, nothing half read, and nothing lies in its socket that hyper has not seen.
+    /// Whether no request is in flight or partially read, and the socket holds no data that hyper has not
+    /// seen.
     pub fn is_quiescent(&self) -> bool {
         let idle = self.idle_since().is_some() && !self.has_pending_write();
         idle && self.framing().head_since().is_none() && !has_unread(&self.stream)
     }
 
-    /// Whether some of an answer could not be written yet.
+    /// Whether part of a response could not be written yet.
     pub fn has_pending_write(&self) -> bool {
         self.write_pending.load(Ordering::Relaxed)
     }
 
-    /// Ends it by a reset, since an end in order could say that the answer is whole.
+    /// Makes the connection end with a reset, because an orderly close could make a truncated response look
+    /// complete.
     pub fn reset(&self) {
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 }
 
-/// The bytes of a client's connection.
+/// The byte stream of a client connection.
 pub(crate) struct ClientStream {
     client: Arc<Client>,
     stall: Stall,
@@ -188,7 +191,7 @@
         let written = self.stall.wrote(cx, written);
         let was_pending = self.client.write_pending.swap(written.is_pending(), Ordering::Relaxed);
         if was_pending && written.is_ready() && self.client.idle_since().is_some() {
-            // Its rest begins once it has caught up.
+            // The idle time starts once the pending data has been written.
             self.client.request_finished();
         }
         written
@@ -232,7 +235,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // All that is written is with the kernel, which holds nothing back.
+        // Written data is in the kernel, which does not hold it back.
         Poll::Ready(Ok(()))
     }
 
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -1,4 +1,4 @@
-//! Serves one client's connection to its end.
+//! Serves one client connection until it ends.
 
 use std::future::poll_fn;
 use std::pin::Pin;
@@ -32,22 +32,22 @@
 use crate::shared::{InFlight, Shared};
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
-/// Answers without a body, whatever was asked for.
+/// Statuses whose responses never have a body.
 const STATUSES_WITHOUT_BODY: [StatusCode; 2] = [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED];
-/// hyper takes no less for its buffer, and no head needs more.
+/// hyper requires at least this buffer size, and no head needs more than the maximum.
 const MIN_BUFFER: usize = 8 << 10;
 const MAX_BUFFER: usize = 256 << 10;
-/// How often one that leaves is looked at again while something lies in its socket.
+/// How often a connection that is to be closed is checked again while its socket has unread data.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// When one with a request in hand is looked at: it wakes by itself before.
+/// Wake-up interval while a request is in flight; the connection wakes by itself before that.
 const BUSY_POLL_INTERVAL: Duration = Duration::from_secs(60);
 
-/// What was seen of a connection's requests.
+/// Properties of the requests received on a connection.
 #[derive(Default)]
 struct ConnectionFlags {
-    /// One was refused whose end can't be told.
+    /// A request was refused whose end is unknown.
     refused: AtomicBool,
-    /// The last one was of a version without chunks.
+    /// The last request used an HTTP version without chunked encoding.
     pre_http11: AtomicBool,
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// Serves a connection to its end.
+/// Serves a connection until it ends.
 pub(crate) async fn serve(client: Arc<Client>, shared: Arc<Shared>) {
     shared.count(Cause::ClientConnected);
     let flags = ConnectionFlags::default();
@@ -82,7 +82,8 @@
     }
 }
 
-/// Dropped with some of an answer unwritten whose client tells its end by that of the connection, it makes that a reset.
+/// If a response is delimited by the end of the connection and dropped before it is written completely,
+/// resets the connection.
 struct UnwrittenResponseGuard<'a> {
     client: &'a Client,
     flags: &'a ConnectionFlags,
@@ -104,7 +105,7 @@
         .max_buf_size(limit.clamp(MIN_BUFFER, MAX_BUFFER))
         .serve_connection(TokioIo::new(ClientStream::new(Arc::clone(client))), service);
     let mut connection = std::pin::pin!(connection);
-    // Why the gateway ends it, and whether it has told hyper so.
+    // Why the gateway closes the connection, and whether it has told hyper to do so.
     let mut close_reason = None;
     let mut shutdown_started = false;
     loop {
@@ -118,7 +119,8 @@
         tokio::select! {
             biased;
             ended = connection.as_mut() => {
-                let reason = EndReason::from_result(&ended, flags.refused(), close_reason.filter(|_| shutdown_started));
+                let requested = close_reason.filter(|_| shutdown_started);
+                let reason = EndReason::from_result(&ended, flags.refused(), requested);
                 reason.check_answered(client, shared);
                 return reason;
             }
@@ -128,7 +130,7 @@
             }
             () = earlier_deadline(client, &limits, wake), if close_reason.is_none() => {}
             () = sleep_until(wake) => {
-                // A larger limit may have come meanwhile.
+                // A configuration with a longer limit may have come into force meanwhile.
                 if client.deadline(&shared.client_limits()).is_some_and(|until| until <= Instant::now()) {
                     if client.framing().head_since().is_some() {
                         EndReason::HeadTimeout.check_answered(client, shared);
@@ -141,7 +143,8 @@
         if close_reason.is_some() {
             client.close_after_request();
         }
-        // A request may lie in the socket that nobody was told of: such a one is taken first.
+        // The socket may hold a request that the runtime has not reported yet; such a request is read
+        // first.
         let may_close = || {
             client.is_quiescent()
                 && !(close_reason == Some(EndReason::ShuttingDown) && client.awaits_first_request())
@@ -150,7 +153,8 @@
             if close_reason == Some(EndReason::Idle) && client.is_within_announced_idle() {
                 shared.violated(Violation::RestCutShort);
             }
-            // hyper keeps one that sent empty lines alone, as if a request had begun.
+            // hyper treats a connection that has sent only empty lines as if a request had started, and
+            // keeps it open.
             if let Some(reason) = close_reason.filter(|_| !client.has_sent_request()) {
                 return reason;
             }
@@ -160,8 +164,8 @@
     }
 }
 
-/// Comes once a client's patience ends before `wake`: a head has begun, or an answer has ended. Polled behind its
-/// connection, in the same task, which wakes for whatever changes this.
+/// Completes when the client's deadline moves before `wake`, because a head has started or a response has
+/// ended. Polled after the connection in the same task, which wakes on every such change.
 async fn earlier_deadline(client: &Client, limits: &ClientLimits, wake: Instant) {
     poll_fn(|_| match client.deadline(limits) {
         Some(until) if until < wake => Poll::Ready(()),
@@ -170,13 +174,14 @@
     .await;
 }
 
-/// A request in hand; dropped before its answer, its client has gone or the process ends.
+/// A request in flight. If it is dropped before its response is complete, the client has disconnected or
+/// the process is exiting.
 struct ActiveRequest {
     client: Arc<Client>,
     shared: Arc<Shared>,
-    /// Whether its client wants the connection to be kept.
+    /// Whether the client wants to keep the connection.
     wants_keep_alive: bool,
-    /// Whether it is of a version without chunks.
+    /// Whether the HTTP version lacks chunked encoding.
     pre_http11: bool,
     done: bool,
     _in_flight: InFlight,
@@ -218,14 +223,15 @@
         flags.refused.fetch_or(declined.body_unread, Ordering::Relaxed);
         declined.response()
     });
-    // hyper takes no body for these, and drops what there is.
+    // hyper drops the bodies of such responses.
     let has_no_body = is_head_request || STATUSES_WITHOUT_BODY.contains(&response.status());
     active.done = has_no_body || matches!(response.body(), ResponseBody::Buffered(_));
     set_connection_headers(&active, &mut response);
     Ok(response.map(|body| ClientBody { body, active }))
 }
 
-/// Says whether the connection ends behind this answer, and else for how long it may rest.
+/// Sets the headers that tell the client whether the connection closes after this response, or how long it
+/// may be idle.
 fn set_connection_headers(active: &ActiveRequest, response: &mut Response<ResponseBody>) {
     if !closes_after_response(active, response) {
         let announced = announced_idle_timeout(active.shared.client_limits().idle_timeout);
@@ -237,12 +243,12 @@
     active.client.set_announced_idle(None);
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     if active.pre_http11 {
-        // Else hyper says beside it that the connection is kept, to a client that asked for that.
+        // With HTTP/1.1, hyper would add `keep-alive` for a client that asked for it.
         *response.version_mut() = Version::HTTP_10;
     }
 }
 
-/// Whether the connection ends behind this answer.
+/// Whether the connection closes after this response.
 fn closes_after_response(active: &ActiveRequest, response: &Response<ResponseBody>) -> bool {
     let shared = &active.shared;
     let delimited_by_close = active.pre_http11 && response.body().size_hint().exact().is_none();
@@ -254,7 +260,7 @@
         || active.client.is_closing()
 }
 
-/// What is not counted where it is found out.
+/// The cause to count for a refusal; `None` if it has already been counted where it occurred.
 fn cause_of(refusal: &Refusal) -> Option<Cause> {
     match refusal {
         Refusal::NoKey => Some(Cause::Unauthorized),
@@ -272,7 +278,7 @@
     }
 }
 
-/// An answer's body: its client is idle once it is through.
+/// Body of a response to a client; marks the request as done at its end.
 struct ClientBody {
     body: ResponseBody,
     active: ActiveRequest,
--- a/crates/gateway/src/connection_end.rs
+++ b/crates/gateway/src/connection_end.rs
@@ -1,4 +1,4 @@
-//! Why clients' connections end, and how often each reason came.
+//! Reasons why client connections end, and their counters.
 
 use std::error::Error;
 use std::io;
@@ -9,33 +9,33 @@
 use crate::invariant::Violation;
 use crate::shared::Shared;
 
-/// Why a client's connection ended.
+/// Why a client connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum EndReason {
-    /// The client closed it, or an answer had said that it would end.
+    /// The client closed it, or a response had announced the close.
     Closed,
-    /// It rested for longer than its client was told that it may.
+    /// It was idle for longer than the announced time.
     Idle,
-    /// It was at rest and made room for another one.
+    /// It was idle and was closed to make room for another one.
     Evicted,
-    /// It was at rest, or its request was answered, while the process shuts down.
+    /// It was idle, or its request had been answered, while the process was shutting down.
     ShuttingDown,
-    /// A request's head took too long.
+    /// A request head took too long.
     HeadTimeout,
-    /// The client took nothing of its answer for too long.
+    /// The client read nothing of its response for too long.
     WriteTimeout,
-    /// A request was refused before all of its body had come.
+    /// A request was refused before its whole body was received.
     RefusedBody,
-    /// What came was no request.
+    /// The received data was not a valid request.
     Malformed,
-    /// The answer's body broke off.
+    /// The response body was aborted.
     AnswerBrokenOff,
-    /// The client left in the midst of something, or the network failed.
+    /// The client disconnected in the middle of an exchange, or the network failed.
     Lost,
 }
 
-/// All reasons with the names that logs and metrics give them.
+/// All reasons with their names in logs and metrics.
 const REASONS: [(EndReason, &str); 10] = [
     (EndReason::Closed, "closed"),
     (EndReason::Idle, "idle"),
@@ -50,8 +50,8 @@
 ];
 
 impl EndReason {
-    /// Why a connection ended. `refused` is whether one of its requests was refused before its end, `asked_for` why the
-    /// gateway told hyper to end it.
+    /// Determines the reason from hyper's result. `refused` tells whether a request was refused before its
+    /// end, `requested` why the gateway told hyper to close the connection.
     pub(crate) fn from_result(
         ended: &hyper::Result<()>,
         refused: bool,
@@ -67,14 +67,16 @@
         }
     }
 
-    /// What the gateway ends by its own decision has no request in hand, and has read none that it does not answer.
+    /// Checks the invariant that a connection closed by the gateway's own decision has no unanswered
+    /// request.
     pub(crate) fn check_answered(self, client: &Client, shared: &Shared) {
         if self.is_gateway_initiated() && client.is_unanswered() {
             shared.violated(Violation::RequestUnanswered);
         }
     }
 
-    /// Whether the gateway decided it by itself, so that no request may be in hand then.
+    /// Whether the gateway closed the connection by its own decision, in which case no request may be in
+    /// flight.
     pub(crate) fn is_gateway_initiated(self) -> bool {
         matches!(
             self,
@@ -82,7 +84,7 @@
         )
     }
 
-    /// Whether whatever was answered on it was written whole.
+    /// Whether every response on the connection was written completely.
     pub(crate) fn has_complete_response(self) -> bool {
         matches!(
             self,
@@ -100,22 +102,22 @@
     source.is_some_and(|source| source.kind() == io::ErrorKind::TimedOut)
 }
 
-/// How often connections ended for one reason, and how long they had rested then.
+/// Number of connections that ended for one reason, and how long they had been idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionEnds {
     /// The reason.
     pub reason: EndReason,
-    /// Its name in logs and metrics.
+    /// The reason's name in logs and metrics.
     pub name: &'static str,
-    /// How many ended for it since the start.
+    /// The number of connections since the start.
     pub number: u64,
-    /// The shortest rest before such an end; none where each had a request in hand.
+    /// The shortest idle time before such an end; `None` if all of them had a request in flight.
     pub min_idle: Option<Duration>,
-    /// The longest.
+    /// The longest idle time before such an end.
     pub max_idle: Option<Duration>,
 }
 
-/// Counts the ends of connections by reason.
+/// Counters of connection ends by reason.
 #[derive(Debug)]
 pub(crate) struct EndCounters {
     by_reason: [EndCounter; REASONS.len()],
@@ -142,7 +144,7 @@
 }
 
 impl EndCounters {
-    /// A connection ended, having rested for so long; none where a request was in hand.
+    /// Records the end of a connection and how long it had been idle; `None` if a request was in flight.
     pub fn add(&self, reason: EndReason, idle: Option<Duration>) {
         let counter = &self.by_reason[reason as usize];
         counter.number.fetch_add(1, Ordering::Relaxed);
@@ -154,7 +156,7 @@
         }
     }
 
-    /// What has happened at all.
+    /// All non-zero counters.
     pub fn read(&self) -> Vec<ConnectionEnds> {
         let ends = REASONS.iter().map(|(reason, name)| {
             let counter = &self.by_reason[*reason as usize];
--- a/crates/gateway/src/fleet_view.rs
+++ b/crates/gateway/src/fleet_view.rs
@@ -1,4 +1,4 @@
-//! The fleet as the dispatcher sees it, put together from the routing table and the backends.
+//! Builds the dispatcher's view of the fleet from the routing table and the backend table.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 use crankpick_dispatch::{BackendState, BackendView, EngineView, FleetView, ServiceView};
 use crankpick_registry::{BackendRecord, BackendState as Recorded, BackendTable};
 
-/// The view of one moment.
+/// Builds a view from the current snapshots.
 pub(crate) fn fleet_view(routing: &RoutingTable, backends: &BackendTable, gateways: usize) -> FleetView {
     FleetView {
         services: routing.services().map(|service| service_view(service)).collect(),
@@ -36,7 +36,8 @@
     }
 }
 
-/// One that has said that it leaves gets nothing more, also where it is silent since.
+/// A backend that has announced that it is draining receives nothing more, even if it has been silent
+/// since.
 fn state(record: &BackendRecord) -> BackendState {
     match record.state {
         Recorded::Gone => BackendState::Gone,
--- a/crates/gateway/src/forwarder.rs
+++ b/crates/gateway/src/forwarder.rs
@@ -260,7 +260,7 @@
             route: RoutePolicy { slo: route.slo, sticky: route.sticky, idempotent: route.repeatable() },
             priority: request.policy.priority(),
             prompt_tokens: usage.map_or(0, |usage| usage.prompt),
-            response_tokens: usage.map_or(0, |usage| usage.answer),
+            response_tokens: usage.map_or(0, |usage| usage.response),
             parts: &request.size.parts,
             request_bytes: request.bytes(),
             elapsed: request.arrived.elapsed(),
--- a/crates/gateway/src/freshness.rs
+++ b/crates/gateway/src/freshness.rs
@@ -1,15 +1,18 @@
-//! Whether the configuration in force is known to be the newest: a gateway that is cut off must not refuse by an old one.
+//! Tracks whether the configuration in force is known to be the newest. A gateway that is cut off from the
+//! control plane must not refuse requests based on an old configuration.
 
 use std::time::Duration;
 
 use crate::Now;
 
-/// How long a configuration is relied on after it was last known to be the newest.
+/// How long a configuration is trusted after it was last confirmed to be the newest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FreshnessBounds {
-    /// For as long, what it does not hold may be refused for good: a newer one need not be in force anywhere yet.
+    /// Within this time an unknown key or route may be refused permanently, because a newer configuration
+    /// need not be in force anywhere yet.
     pub refuse_within: Duration,
-    /// For as long, its keys are accepted; without a bound where the deployment sets none on withdrawn keys.
+    /// Within this time the configured keys are accepted; unlimited if the deployment sets no bound for
+    /// revoked keys.
     pub accept_keys_within: Option<Duration>,
 }
 
@@ -19,7 +22,7 @@
     }
 }
 
-/// When the configuration in force was last known to be the newest.
+/// When the configuration in force was last confirmed to be the newest.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Freshness {
     bounds: FreshnessBounds,
@@ -27,22 +30,23 @@
 }
 
 impl Freshness {
-    /// Of a process that nobody has told anything.
+    /// The state of a process that has received no confirmation.
     pub fn new(bounds: FreshnessBounds) -> Self {
         Freshness { bounds, confirmed_at: None }
     }
 
-    /// It was the newest at that time. Words that come late don't take back what is known since.
+    /// Records that the configuration was the newest at `as_of`. Late confirmations do not move the time
+    /// back.
     pub fn confirm(&mut self, as_of: Now) {
         self.confirmed_at = self.confirmed_at.max(Some(as_of));
     }
 
-    /// Whether an unknown key or route may be refused for good.
+    /// Whether an unknown key or route may be refused permanently.
     pub fn may_refuse(&self, now: Now) -> bool {
         self.age(now).is_some_and(|age| age <= self.bounds.refuse_within)
     }
 
-    /// Whether a key that it holds may still be accepted.
+    /// Whether a configured key may still be accepted.
     pub fn may_accept_keys(&self, now: Now) -> bool {
         match self.bounds.accept_keys_within {
             Some(within) => self.age(now).is_some_and(|age| age <= within),
--- a/crates/gateway/src/generated_body.rs
+++ b/crates/gateway/src/generated_body.rs
@@ -1,4 +1,4 @@
-//! A body that is written by a future: the future hands out pieces, and is polled as the client takes them.
+//! A response body produced by a future: the future sends chunks and is polled as the client reads them.
 
 use std::future::{poll_fn, Future};
 use std::pin::Pin;
@@ -11,7 +11,7 @@
 
 type Producer = Pin<Box<dyn Future<Output = Result<(), ResponseAborted>> + Send>>;
 
-/// What a stream's future writes to. It holds one piece: whoever writes waits until that is taken.
+/// The producer's side. Holds one chunk; the producer waits until it has been taken.
 #[derive(Clone, Default)]
 pub(crate) struct ChunkSender {
     slot: Arc<Mutex<Option<Bytes>>>,
@@ -22,21 +22,22 @@
         self.slot.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Hands out a piece; done once it was taken. Only the outlet's own poll takes it, and polls this again.
+    /// Sends a chunk and completes when it has been taken. Only [`GeneratedBody::poll`] takes it, and it
+    /// also polls this future again.
     pub async fn send(&self, chunk: Bytes) {
         *self.lock() = Some(chunk);
         poll_fn(|_| if self.lock().is_none() { Poll::Ready(()) } else { Poll::Pending }).await;
     }
 }
 
-/// The body: drives its future and passes on what that hands out.
+/// The body: polls the producer and yields its chunks.
 pub(crate) struct GeneratedBody {
     sender: ChunkSender,
     producer: Option<Producer>,
 }
 
 impl GeneratedBody {
-    /// A body written by the future that `write` makes. Dropped, it ends the future.
+    /// Creates a body from the future that `produce` returns. Dropping the body drops the future.
     pub fn new<F>(produce: impl FnOnce(ChunkSender) -> F) -> Self
     where
         F: Future<Output = Result<(), ResponseAborted>> + Send + 'static,
@@ -48,7 +49,8 @@
     pub fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, ResponseAborted>>> {
         let Some(producer) = &mut self.producer else { return Poll::Ready(None) };
         let finished = producer.as_mut().poll(cx);
-        // A piece is taken before the writer goes on: it never ends with one on its way.
+        // The chunk is taken before the producer is polled again, so the producer never finishes with a
+        // chunk pending.
         if let Some(chunk) = self.sender.lock().take() {
             return Poll::Ready(Some(Ok(chunk)));
         }
--- a/crates/gateway/src/invariant.rs
+++ b/crates/gateway/src/invariant.rs
@@ -1,21 +1,23 @@
-//! What must hold of every client's connection, checked while the gateway runs.
+//! Invariants of client connections, checked at runtime.
 //!
-//! - Each request that was read has its answer before the gateway ends the connection by its own decision.
-//! - A connection at rest outlasts the time that its client was told, unless there is no room or the process ends.
-//! - No request that was taken after the signal to end is under way when the grace is over.
+//! - The gateway does not close a connection by its own decision before every request read from it has been
+//!   answered.
+//! - An idle connection stays open for at least the time announced to its client, unless room is needed or
+//!   the process is shutting down.
+//! - No request accepted after the shutdown signal is still in flight at the end of the grace period.
 //!
-//! A violation is a fault of the program. It is counted and logged, and the tests allow none.
+//! A violation is a bug. It is counted and logged, and the tests allow none.
 
 use crate::counters::Cause;
 
-/// A broken invariant.
+/// A violated invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Violation {
-    /// A connection was ended by the gateway with a request in hand.
+    /// The gateway closed a connection with a request in flight.
     RequestUnanswered,
-    /// A connection at rest was ended before the time that its client was told.
+    /// An idle connection was closed before the announced time.
     RestCutShort,
-    /// A request that was taken after the signal to end is broken off at the end of the grace.
+    /// A request accepted after the shutdown signal was aborted at the end of the grace period.
     TakenTooLate,
 }
 
@@ -30,10 +32,14 @@
 
     pub fn message(self) -> &'static str {
         match self {
-            Violation::RequestUnanswered => "invariant violated: a connection ended with a request in hand",
-            Violation::RestCutShort => "invariant violated: a connection ended before the time that was told",
+            Violation::RequestUnanswered => {
+                "invariant violated: a connection was closed with a request in flight"
+            }
+            Violation::RestCutShort => {
+                "invariant violated: an idle connection was closed before the announced time"
+            }
             Violation::TakenTooLate => {
-                "invariant violated: a request taken after the signal outlasts the grace"
+                "invariant violated: a request accepted after the shutdown signal outlasted the grace period"
             }
         }
     }
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -1,18 +1,19 @@
-//! What the process is there for: serving, or ending since the signal.
+//! Process life cycle: serving, or shutting down since the signal.
 
 use std::time::Duration;
 
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 
-/// How long connections still come after the signal: the platform asks each second and needs two misses.
+/// How long connections are still accepted after the shutdown signal: the platform checks readiness every
+/// second and needs two failures.
 pub(crate) const ACCEPT_AFTER_SIGNAL: Duration = Duration::from_millis(3_000);
-/// From here on clients' connections at rest are ended.
+/// When idle client connections are closed after the shutdown signal.
 pub(crate) const CLOSE_IDLE_AFTER_SIGNAL: Duration = Duration::from_millis(2_600);
-/// Kept back of the grace.
+/// Safety margin before the end of the grace period.
 const GRACE_MARGIN: Duration = Duration::from_millis(300);
 
-/// The lifecycle, turned once.
+/// The state of the life cycle; shutdown begins at most once.
 pub(crate) struct Lifecycle {
     shutdown_at: watch::Sender<Option<Instant>>,
     grace: Duration,
@@ -23,7 +24,7 @@
         Lifecycle { shutdown_at: watch::Sender::new(None), grace }
     }
 
-    /// The signal to end has come.
+    /// Handles the shutdown signal; repeated signals have no effect.
     pub fn begin_shutdown(&self) {
         self.shutdown_at.send_if_modified(|shutdown_at| {
             let first = shutdown_at.is_none();
@@ -36,7 +37,7 @@
         self.shutdown_at.borrow().is_some()
     }
 
-    /// What is left until whatever is in hand is broken off; none before the signal.
+    /// Time left until requests in flight are aborted; `None` before the shutdown signal.
     pub fn time_left(&self) -> Option<Duration> {
         let shutdown_at = (*self.shutdown_at.borrow())?;
         Some(
@@ -44,7 +45,7 @@
         )
     }
 
-    /// Comes so long after the signal.
+    /// Completes `time` after the shutdown signal.
     pub async fn wait_since_shutdown(&self, time: Duration) {
         let mut shutdown_at = self.shutdown_at.subscribe();
         let shutdown_at =
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Comes when the process must end whatever is still in hand.
+    /// Completes when the process must abort whatever is still in flight.
     pub async fn wait_for_grace_end(&self) {
         self.wait_since_shutdown(self.grace.saturating_sub(GRACE_MARGIN)).await;
     }
--- a/crates/gateway/src/lingering_close.rs
+++ b/crates/gateway/src/lingering_close.rs
@@ -1,5 +1,5 @@
-//! Ends a connection whose client may still be sending: closed over unread bytes it would be reset, and an answer that
-//! its client has not taken yet would be lost.
+//! Lingering close of a connection whose client may still be sending: closing it with unread data would
+//! reset it, and the client could lose a response that it has not read yet.
 
 use std::mem::MaybeUninit;
 use std::net::Shutdown;
@@ -9,19 +9,19 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long the client may send nothing.
+/// How long the client may be silent.
 const MAX_SILENCE: Duration = Duration::from_millis(250);
-/// How long it is read on in all, and for how many bytes: as many as bodies have by default.
+/// Limits for reading in total. The size limit is the default maximum size of a body.
 const MAX_LINGER: Duration = Duration::from_secs(2);
 const MAX_LINGER_BYTES: usize = 4 << 20;
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// Whether bytes came that were not read.
+/// Whether the socket has unread data.
 pub(crate) fn has_unread(stream: &TcpStream) -> bool {
     matches!(SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]), Ok(1..))
 }
 
-/// Says that no more is written, and reads on until the client says the same, or for a while.
+/// Shuts down the write side, then reads until the client closes its side or a limit is reached.
 pub(crate) async fn linger(stream: &TcpStream) {
     let _ = SockRef::from(stream).shutdown(Shutdown::Write);
     let _ = timeout(MAX_LINGER, read_until_closed(stream)).await;
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -1,4 +1,4 @@
-//! Takes clients' connections, within a budget, until the process is to end and a little longer.
+//! Accepts client connections, up to a limit, until shortly after the shutdown signal.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,14 +14,16 @@
 use crate::lifecycle::ACCEPT_AFTER_SIGNAL;
 use crate::shared::Shared;
 
-/// Who connects asks right away: one that has not by then is the first to make room.
+/// Clients send a request right after connecting; a connection that has not done so by then is evicted
+/// first.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(50);
-/// Connections ended together where there is no room: they come by hundreds.
+/// Number of connections evicted together when the limit is reached: new connections arrive by the
+/// hundreds.
 const EVICTION_BATCH: usize = 8;
-/// How long it is waited after an accept that failed: what goes wrong here passes.
+/// Delay after a failed accept; such errors are transient.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The connections open.
+/// The open client connections.
 #[derive(Default)]
 struct OpenConnections {
     open: Mutex<ConnectionTable>,
@@ -50,7 +52,8 @@
         self.lock().by_id.remove(&id);
     }
 
-    /// Makes room for a few: first those that never asked, then those that have rested for longest.
+    /// Evicts a few idle connections: first those that never sent a request, then those that have been idle
+    /// longest.
     fn evict_idle(&self, shared: &Shared) {
         let open = self.lock();
         let idle = open.by_id.values().filter(|client| !client.is_closing());
@@ -68,8 +71,8 @@
     }
 }
 
-/// Serves clients' connections from `listener` until the process is to end and all in hand is answered, or its
-/// grace is over.
+/// Serves client connections from `listener` until the shutdown signal has been received and all requests
+/// are answered, or the grace period ends.
 pub async fn serve(listener: TcpListener, shared: Arc<Shared>) {
     let clients = Arc::new(OpenConnections::default());
     let start_serving = |stream: TcpStream, permit: OwnedSemaphorePermit| {
@@ -90,7 +93,7 @@
             (stream, permit) = accept(&listener, &clients, &shared) => start_serving(stream, permit),
         }
     }
-    // What the kernel has taken up for us by now would be reset with the listener.
+    // Connections that the kernel has accepted by now would be reset when the listener is closed.
     while let (Some(stream), Some(permit)) =
         (accept_waiting(&listener).await, shared.client_connections.try_acquire())
     {
@@ -104,7 +107,7 @@
     slog::info!(shared.log, "clients served"; "broken_off" => shared.in_flight(), "up" => ?shared.now());
 }
 
-/// A connection that waits to be accepted, if there is one.
+/// Accepts a connection from the backlog, if there is one.
 async fn accept_waiting(listener: &TcpListener) -> Option<TcpStream> {
     tokio::select! {
         biased;
@@ -113,7 +116,7 @@
     }
 }
 
-/// The next connection. What goes wrong here passes: no error may end the loop.
+/// Accepts the next connection. Accept errors are transient and must not end the loop.
 async fn accept(
     listener: &TcpListener,
     clients: &OpenConnections,
@@ -123,7 +126,7 @@
         let permit = match shared.client_connections.try_acquire() {
             Some(permit) => permit,
             None => {
-                // Beyond the budget the kernel holds what comes until a place is free.
+                // Beyond the limit, new connections wait in the kernel's backlog until a permit is free.
                 clients.evict_idle(shared);
                 tokio::select! {
                     Some(permit) = shared.client_connections.acquire() => permit,
--- a/crates/gateway/src/quotas.rs
+++ b/crates/gateway/src/quotas.rs
@@ -1,4 +1,4 @@
-//! The tenants' quotas as far as this gateway holds leases of them.
+//! The tenants' quotas, as far as this gateway holds leases on them.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,27 +10,27 @@
 
 use crate::Now;
 
-/// What this gateway asks for, of one tenant's quota.
+/// This gateway's demand for one tenant's quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantDemand {
     /// The tenant's name.
     pub tenant: String,
-    /// What it asks for.
+    /// The demand to report.
     pub demand: Demand,
 }
 
-/// A request's share that isn't there.
+/// Why a request could not be charged, and when to try again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Shortage {
-    /// When it will have accrued, if no credit comes before; none while nobody can say.
+    /// When enough quota will have accrued if no credit arrives earlier; `None` if that is unknown.
     pub accrues_in: Option<Duration>,
-    /// When the need may be reported; zero where that was set off. Reports keep a distance: the request is to be taken
-    /// again by then, or the need would wait for the next regular report.
+    /// When the need may be reported; zero if a report has been requested just now. Reports keep a minimum
+    /// interval: the request must be rechecked by then, or the need would wait for the next regular report.
     pub report_in: Option<Duration>,
 }
 
 impl Shortage {
-    /// The longest that a held request waits before it is taken again.
+    /// Maximum time a held request waits before it is rechecked.
     pub fn recheck_in(&self) -> Option<Duration> {
         let report_in = self.report_in.filter(|wait| !wait.is_zero());
         match (self.accrues_in, report_in) {
@@ -40,13 +40,13 @@
     }
 }
 
-/// Holds one lease a tenant.
+/// Holds one lease per tenant.
 pub(crate) struct Quotas {
     bounds: QuotaBounds,
     holders: Mutex<BTreeMap<String, Holder>>,
-    /// Told when a request could not be admitted: a report should go out at once.
+    /// Notified when a request could not be admitted and a report should be sent immediately.
     urgent_need: Notify,
-    /// Told when grants came.
+    /// Notified when a grant has been applied.
     grant_applied: Notify,
 }
 
@@ -59,7 +59,7 @@
         self.holders.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Goes by these tenants: what is without a limit, or gone, holds nothing.
+    /// Updates the set of tenants. Unlimited and removed tenants hold no lease.
     pub fn publish(&self, now: Now, routing: &RoutingTable, gateways: usize) {
         let gateways = u32::try_from(gateways).unwrap_or(u32::MAX);
         let limited: BTreeMap<&str, &Arc<TenantRule>> = routing
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Takes a request's share, `again` where it was held for want of it; what is known where it isn't there.
+    /// Charges a request to the tenant's lease; `is_recheck` if the request was held before. If the charge
+    /// fails, returns when to try again.
     pub fn try_take(
         &self,
         now: Now,
@@ -100,12 +101,12 @@
         Err(Shortage { accrues_in, report_in })
     }
 
-    /// Comes when grants have come.
+    /// Completes when a grant has been applied.
     pub async fn wait_for_grant(&self) {
         self.grant_applied.notified().await;
     }
 
-    /// Comes when a report should go out at once.
+    /// Completes when a report should be sent immediately.
     pub async fn wait_for_urgent_need(&self) {
         self.urgent_need.notified().await;
     }
@@ -133,7 +134,7 @@
     }
 }
 
-/// What a request counts against its tenant's quota.
+/// The cost of a request in units of its tenant's quota.
 pub(crate) fn cost(tenant: &TenantRule, tokens: Option<u32>) -> f64 {
     match tenant.unit {
         QuotaUnit::Requests => 1.0,
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -41,18 +41,18 @@
     /// Number of prompt tokens.
     pub prompt: u32,
     /// Maximum number of response tokens.
-    pub answer: u32,
+    pub response: u32,
 }
 
 impl TokenUsage {
     /// Number of tokens charged to the quota.
     pub fn total(&self) -> u32 {
-        self.prompt.saturating_add(self.answer)
+        self.prompt.saturating_add(self.response)
     }
 
     fn read(text: &str) -> Option<Self> {
-        let (prompt, answer) = text.split_once(',')?;
-        Some(TokenUsage { prompt: prompt.trim().parse().ok()?, answer: answer.trim().parse().ok()? })
+        let (prompt, response) = text.split_once(',')?;
+        Some(TokenUsage { prompt: prompt.trim().parse().ok()?, response: response.trim().parse().ok()? })
     }
 }
 
--- a/crates/gateway/src/response_body.rs
+++ b/crates/gateway/src/response_body.rs
@@ -19,7 +19,7 @@
 
 impl std::fmt::Display for ResponseAborted {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        f.write_str("the answer broke off")
+        f.write_str("response body aborted")
     }
 }
 
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a gateway is told once, at its start.
+//! Settings that a gateway receives once, at its start.
 
 use std::time::Duration;
 
@@ -7,45 +7,46 @@
 
 use crate::freshness::FreshnessBounds;
 
-/// Descriptors kept for all but clients and backends: files, the control plane, the listeners.
+/// File descriptors reserved for everything but clients and backends: files, the control plane, the
+/// listeners.
 const RESERVED_DESCRIPTORS: usize = 400;
-/// The part of the other descriptors that clients may have.
+/// Fraction of the remaining descriptors that clients may use.
 const CLIENT_FRACTION: f64 = 0.7;
-/// The part of the memory that bodies may take.
+/// Bodies may use one part in this many of the memory.
 const BODY_MEMORY_DIVISOR: u64 = 5;
 
-/// A configuration that only this process lacks is here within that.
+/// A configuration that only this process lacks arrives within this time.
 const CONFIGURATION_WAIT: Duration = Duration::from_millis(100);
 
-/// What a gateway is told once, at its start.
+/// Settings that a gateway receives once, at its start.
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
     /// The machine's zone.
     pub zone: String,
-    /// How many repeats a service may see.
+    /// Retry budget of each service.
     pub retry: RetryBudgetSettings,
-    /// How strictly tenants' quotas are judged.
+    /// How strictly tenant quotas are enforced.
     pub quota: QuotaBounds,
-    /// How long a configuration is relied on that may be out of date.
+    /// How long a possibly outdated configuration is trusted.
     pub freshness: FreshnessBounds,
-    /// From the signal to end to the kill.
+    /// Grace period between the shutdown signal and the kill.
     pub grace: Duration,
     /// How long a request waits for a first configuration.
     pub configuration_wait: Duration,
-    /// Clients' connections open at once.
+    /// Maximum number of open client connections.
     pub max_client_connections: usize,
-    /// Connections to backends open at once.
+    /// Maximum number of open backend connections.
     pub max_backend_connections: usize,
-    /// Bytes of bodies held at once, those of small ones aside.
+    /// Maximum number of bytes of request bodies held at once, not counting small bodies.
     pub body_memory: u64,
-    /// Draws ties and shares.
+    /// Seed for the dispatcher's random choices.
     pub seed: u64,
-    /// When the process began: all times are counted from here.
+    /// When the process started; all times are relative to it.
     pub start: Instant,
 }
 
 impl GatewaySettings {
-    /// The usual settings of a gateway in a zone; budgets as the machine's limits allow.
+    /// The default settings of a gateway in a zone, with limits derived from the machine's.
     pub fn new(zone: impl Into<String>, max_fds: u64, memory_bytes: u64) -> Self {
         let available =
             usize::try_from(max_fds).unwrap_or(usize::MAX).saturating_sub(RESERVED_DESCRIPTORS).max(20);
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -181,8 +181,8 @@
 
     /// Records the end of a client connection and how long it had been idle; `None` if a request was in
     /// flight.
-    pub(crate) fn connection_ended(&self, reason: EndReason, rest: Option<Duration>) {
-        self.connection_ends.add(reason, rest);
+    pub(crate) fn connection_ended(&self, reason: EndReason, idle: Option<Duration>) {
+        self.connection_ends.add(reason, idle);
     }
 
     /// If the shutdown signal has been received, counts a newly accepted request until the returned guard
