--- a/crates/gateway/tests/serving/admission.rs
+++ b/crates/gateway/tests/serving/admission.rs
@@ -1,11 +1,11 @@
-//! Keys, tenants and quotas.
+//! API keys, tenants and quotas.
 
 use std::time::Duration;
 
 use crankpick_gateway::Cause;
 use crankpick_quota::{Grant, GrantSource, OwnerIncarnation};
 
-use crate::stand_ins::*;
+use crate::support::*;
 
 const TENANTS: &str = r#","tenants":[
     {"name":"free","api_keys":["k1","k2"],"priority":1},
@@ -20,45 +20,46 @@
 }
 
 #[test]
-fn a_key_is_asked_for_and_kept_from_the_backend() {
+fn api_key_is_required_and_not_forwarded() {
     let backend = Backend::start();
     let gateway = gateway(&backend);
     for headers in ["", "Authorization: Bearer nobody\r\n", "Authorization: k1\r\n"] {
-        let refused = gateway.ask("GET", "/keyed/", headers, "").answer();
+        let refused = gateway.send_request("GET", "/keyed/", headers, "").read_response();
         assert_eq!((refused.status(), refused.text().starts_with(r#"{"code":4010,"#)), (401, true));
     }
-    let mut client = gateway.ask("GET", "/keyed/", "Authorization: Bearer k2\r\nX-Tenant: bound\r\n", "");
-    let mut asked = backend.next();
-    assert_eq!(asked.message.header("authorization"), None);
-    assert_eq!(asked.message.header("x-tenant"), Some("free"));
-    asked.answer(200, SOUND, "");
-    assert_eq!(client.answer().status(), 200);
+    let mut client =
+        gateway.send_request("GET", "/keyed/", "Authorization: Bearer k2\r\nX-Tenant: bound\r\n", "");
+    let mut request = backend.next_request();
+    assert_eq!(request.message.header("authorization"), None);
+    assert_eq!(request.message.header("x-tenant"), Some("free"));
+    request.respond(200, VALID_HEADERS, "");
+    assert_eq!(client.read_response().status(), 200);
     assert_eq!(gateway.count(Cause::Unauthorized), 3);
 }
 
 #[test]
-fn a_public_route_asks_for_none() {
+fn public_route_requires_no_key() {
     let backend = Backend::start();
     let gateway = gateway(&backend);
-    let mut client = gateway.ask("GET", "/public/", "X-Tenant: free\r\n", "");
-    let mut asked = backend.next();
-    assert_eq!(asked.message.header("x-tenant"), None);
-    asked.answer(200, SOUND, "");
-    assert_eq!(client.answer().status(), 200);
+    let mut client = gateway.send_request("GET", "/public/", "X-Tenant: free\r\n", "");
+    let mut request = backend.next_request();
+    assert_eq!(request.message.header("x-tenant"), None);
+    request.respond(200, VALID_HEADERS, "");
+    assert_eq!(client.read_response().status(), 200);
 }
 
 #[test]
-fn a_key_that_was_taken_away_is_refused_on_an_open_connection() {
+fn revoked_key_is_refused_on_open_connection() {
     let backend = Backend::start();
     let gateway = gateway(&backend);
     let mut client = gateway.connect();
-    client.ask("GET", "/keyed/", "Authorization: Bearer k1\r\n", "");
-    backend.next().answer(200, SOUND, "");
-    assert_eq!(client.answer().status(), 200);
+    client.send_request("GET", "/keyed/", "Authorization: Bearer k1\r\n", "");
+    backend.next_request().respond(200, VALID_HEADERS, "");
+    assert_eq!(client.read_response().status(), 200);
     let keyed = route("/keyed/", "mutating", "").replace(r#""public":true"#, r#""public":false"#);
     gateway.shared.publish_routing(configuration(2, &keyed, &TENANTS.replace(r#""k1","#, "")));
-    client.ask("GET", "/keyed/", "Authorization: Bearer k1\r\n", "");
-    assert_eq!(client.answer().status(), 401);
+    client.send_request("GET", "/keyed/", "Authorization: Bearer k1\r\n", "");
+    assert_eq!(client.read_response().status(), 401);
 }
 
 fn grant(number: u64, credit: f64) -> Grant {
@@ -77,110 +78,113 @@
 }
 
 #[test]
-fn beyond_its_quota_a_tenant_is_refused_and_told_when_to_come_again() {
+fn exhausted_quota_is_refused_with_retry_after() {
     let backend = Backend::start();
     let gateway = gateway(&backend);
     let key = "Authorization: Bearer k3\r\n";
     assert!(gateway.shared.apply_quota_grant(gateway.shared.now(), "bound", grant(1, 100.0)));
-    let mut client = gateway.ask("GET", "/keyed/", &format!("{key}X-Token-Usage: 40,50\r\n"), "");
-    backend.next().answer(200, SOUND, "");
-    assert_eq!(client.answer().status(), 200);
-    // A request that tells no tokens counts as many as the configuration says.
-    let refused = gateway.ask("GET", "/keyed/", key, "").answer();
+    let mut client = gateway.send_request("GET", "/keyed/", &format!("{key}X-Token-Usage: 40,50\r\n"), "");
+    backend.next_request().respond(200, VALID_HEADERS, "");
+    assert_eq!(client.read_response().status(), 200);
+    // A request without token usage is charged the configured default.
+    let refused = gateway.send_request("GET", "/keyed/", key, "").read_response();
     assert_eq!(refused.status(), 429);
     assert!(refused.header("retry-after").is_some_and(|after| after.parse::<f64>().is_ok()));
-    assert!(backend.is_quiet());
+    assert!(backend.has_no_request());
     let demands = gateway.shared.quota_demands(GrantSource::OWNER);
     assert!(demands.iter().any(|demand| demand.tenant == "bound" && demand.demand.need > 0.0));
 }
 
-/// A gateway whose keyed requests may wait for a lease for long.
-fn patient_gateway(backend: &Backend) -> Gateway {
+/// A gateway whose SLO lets keyed requests wait long for a lease.
+fn gateway_with_long_slo(backend: &Backend) -> Gateway {
     let keyed = route("/keyed/", "mutating", "").replace(r#""public":true"#, r#""public":false"#);
     let routing = configuration(1, &keyed.replace(r#""slo_ms":1000"#, r#""slo_ms":60000"#), TENANTS);
     Gateway::start(routing, &[backend.address])
 }
 
-/// The wait for a lease is short, and not a refusal where it comes.
+/// A request held briefly for a lease is admitted when the lease arrives.
 #[test]
-fn a_request_is_admitted_by_a_grant_that_comes_at_once() {
+fn held_request_is_admitted_by_prompt_grant() {
     let backend = Backend::start();
-    let gateway = patient_gateway(&backend);
-    let mut client = gateway.ask("GET", "/keyed/", "Authorization: Bearer k3\r\n", "");
+    let gateway = gateway_with_long_slo(&backend);
+    let mut client = gateway.send_request("GET", "/keyed/", "Authorization: Bearer k3\r\n", "");
     let waits = || gateway.shared.quota_demands(GrantSource::OWNER).iter().any(|of| of.demand.need > 0.0);
     while !waits() {
         std::thread::yield_now();
     }
     assert!(gateway.shared.apply_quota_grant(gateway.shared.now(), "bound", grant(1, 100.0)));
     assert!(gateway.shared.apply_quota_grant(gateway.shared.now(), "bound", grant(2, 300.0)));
-    backend.next().answer(200, SOUND, "");
-    assert_eq!(client.answer().status(), 200);
+    backend.next_request().respond(200, VALID_HEADERS, "");
+    assert_eq!(client.read_response().status(), 200);
 }
 
-/// Reports keep a distance to each other; a need that comes within it is told once that is over, not by chance with the
-/// next regular report.
+/// Reports keep a minimum interval. A need that arises within it is reported when it ends, rather than with
+/// the next regular report.
 #[test]
-fn a_need_that_comes_right_after_a_report_is_reported_once_it_may_be() {
+fn need_right_after_report_is_reported_after_minimum_interval() {
     let backend = Backend::start();
-    let gateway = patient_gateway(&backend);
-    // A lease at whose rate the share would come in minutes.
+    let gateway = gateway_with_long_slo(&backend);
+    // At this lease's rate, enough quota would accrue only after minutes.
     assert!(gateway.shared.apply_quota_grant(gateway.shared.now(), "bound", grant(1, 0.0)));
     let clock = tokio::runtime::Builder::new_current_thread().enable_time().build().unwrap();
     let wanted = || {
         clock.block_on(async {
-            tokio::time::timeout(PATIENCE, gateway.shared.wait_for_urgent_quota_need()).await
+            tokio::time::timeout(TEST_TIMEOUT, gateway.shared.wait_for_urgent_quota_need()).await
         })
     };
     let need =
         || gateway.shared.quota_demands(GrantSource::OWNER).iter().map(|of| of.demand.need).sum::<f64>();
-    let _first = gateway.ask("GET", "/keyed/", "Authorization: Bearer k3\r\n", "");
+    let _first = gateway.send_request("GET", "/keyed/", "Authorization: Bearer k3\r\n", "");
     assert_eq!(wanted(), Ok(()), "the first need");
     assert!(need() > 0.0);
-    let _second = gateway.ask("GET", "/keyed/", "Authorization: Bearer k3\r\n", "");
+    let _second = gateway.send_request("GET", "/keyed/", "Authorization: Bearer k3\r\n", "");
     assert_eq!(wanted(), Ok(()), "the need after the report");
     assert!(need() > 200.0, "both are needed");
 }
 
 #[test]
-fn without_a_configuration_a_request_waits_a_little_and_is_refused_with_a_promise() {
-    let gateway = Gateway::knowing_nothing(|_| {});
-    let refused = gateway.get("/").answer();
+fn request_without_configuration_is_held_then_refused_as_not_executed() {
+    let gateway = Gateway::unconfigured(|_| {});
+    let refused = gateway.get("/").read_response();
     assert_eq!((refused.status(), refused.text().starts_with(r#"{"code":5030,"#)), (503, true));
     assert!(refused.header("retry-after").is_some());
     assert_eq!(gateway.count(Cause::NotReady), 1);
 }
 
 #[test]
-fn a_first_configuration_that_comes_at_once_is_in_force_for_what_waits() {
+fn first_configuration_applies_to_waiting_request() {
     let backend = Backend::start();
-    let gateway = Gateway::knowing_nothing(|settings| settings.configuration_wait = PATIENCE);
+    let gateway = Gateway::unconfigured(|settings| settings.configuration_wait = TEST_TIMEOUT);
     let mut client = gateway.get("/public/");
     while gateway.count(Cause::Requested) == 0 {
         std::thread::yield_now();
     }
     gateway.shared.publish_routing(configuration(1, &route("/public/", "mutating", ""), ""));
-    gateway.shared.publish_backends(table("s", &[backend.address]));
-    backend.next().answer(200, SOUND, "");
-    assert_eq!(client.answer().status(), 200);
+    gateway.shared.publish_backends(backend_table("s", &[backend.address]));
+    backend.next_request().respond(200, VALID_HEADERS, "");
+    assert_eq!(client.read_response().status(), 200);
 }
 
-/// Where the objective is far longer than the route's time, nothing is held for a part of the objective.
+/// If the SLO is far longer than the route timeout, the timeout bounds the hold time.
 #[test]
-fn no_wait_outlasts_the_routes_time() {
+fn request_is_never_held_past_route_timeout() {
     let backend = Backend::start();
-    let hasty = |text: String| {
+    let with_short_timeout = |text: String| {
         text.replace(r#""slo_ms":1000"#, r#""slo_ms":60000"#)
             .replace(r#""timeout_ms":10000"#, r#""timeout_ms":200"#)
     };
     let keyed = route("/keyed/", "mutating", "").replace(r#""public":true"#, r#""public":false"#);
-    let routes = [hasty(keyed), hasty(route("/public/", "mutating", ""))].join(",");
+    let routes = [with_short_timeout(keyed), with_short_timeout(route("/public/", "mutating", ""))].join(",");
     let began = std::time::Instant::now();
-    // For its quota, of which this gateway has no lease.
+    // Held for quota, of which this gateway has no lease.
     let gateway = Gateway::start(configuration(1, &routes, TENANTS), &[backend.address]);
-    assert_eq!(gateway.ask("GET", "/keyed/", "Authorization: Bearer k3\r\n", "").answer().status(), 429);
-    // For a first backend.
+    assert_eq!(
+        gateway.send_request("GET", "/keyed/", "Authorization: Bearer k3\r\n", "").read_response().status(),
+        429
+    );
+    // Held for a first backend.
     let gateway = Gateway::start(configuration(1, &routes, TENANTS), &[]);
-    assert_eq!(gateway.get("/public/").answer().status(), 503);
+    assert_eq!(gateway.get("/public/").read_response().status(), 503);
     assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
-    assert!(backend.is_quiet());
+    assert!(backend.has_no_request());
 }
--- a/crates/gateway/tests/serving/bounds.rs
+++ b/crates/gateway/tests/serving/bounds.rs
@@ -1,8 +1,8 @@
-//! What clients may send, and how long they may take.
+//! Size and time limits for client requests.
 
 use crankpick_gateway::Cause;
 
-use crate::stand_ins::*;
+use crate::support::*;
 
 const LIMITS: &str = r#","limits":{"max_header_bytes":9000,"max_body_bytes":100,"header_timeout_ms":100,
     "idle_timeout_ms":300}"#;
@@ -12,32 +12,32 @@
 }
 
 #[test]
-fn a_head_that_is_too_long_is_refused() {
+fn oversized_head_is_refused() {
     let backend = Backend::start();
     let gateway = gateway(&backend);
     let headers = format!("X-Long: {}\r\n", "x".repeat(9_000));
-    assert_eq!(gateway.ask("GET", "/", &headers, "").answer().status(), 431);
+    assert_eq!(gateway.send_request("GET", "/", &headers, "").read_response().status(), 431);
 }
 
 #[test]
-fn a_body_that_is_too_long_is_refused_and_the_connection_ended() {
+fn oversized_body_is_refused_and_connection_closed() {
     let backend = Backend::start();
     let gateway = gateway(&backend);
-    let mut client = gateway.ask("POST", "/", "", &"x".repeat(101));
-    assert_eq!(client.answer().status(), 413);
-    assert!(client.ends());
+    let mut client = gateway.send_request("POST", "/", "", &"x".repeat(101));
+    assert_eq!(client.read_response().status(), 413);
+    assert!(client.is_closed());
     let mut client = gateway.connect();
     let head = format!(
         "POST / HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: {ID}\r\nTransfer-Encoding: chunked\r\n\r\n"
     );
-    client.say(&format!("{head}65\r\n{}\r\n", "x".repeat(101)));
-    assert_eq!(client.answer().status(), 413);
-    assert!(client.ends());
-    assert!(backend.is_quiet());
+    client.write_raw(&format!("{head}65\r\n{}\r\n", "x".repeat(101)));
+    assert_eq!(client.read_response().status(), 413);
+    assert!(client.is_closed());
+    assert!(backend.has_no_request());
 }
 
 #[test]
-fn framing_in_doubt_is_refused_and_the_connection_ended() {
+fn ambiguous_framing_is_refused_and_connection_closed() {
     let backend = Backend::start();
     let gateway = gateway(&backend);
     let lengths = [
@@ -47,87 +47,87 @@
         "Content-Length: +3\r\n",
     ];
     for lengths in lengths {
-        let mut client = gateway.ask("POST", "/", lengths, "");
-        client.say("0\r\n\r\nGET /hidden HTTP/1.1\r\n\r\n");
-        assert_eq!(client.answer().status(), 400, "{lengths}");
-        assert!(client.ends(), "{lengths}");
+        let mut client = gateway.send_request("POST", "/", lengths, "");
+        client.write_raw("0\r\n\r\nGET /hidden HTTP/1.1\r\n\r\n");
+        assert_eq!(client.read_response().status(), 400, "{lengths}");
+        assert!(client.is_closed(), "{lengths}");
     }
-    assert!(backend.is_quiet());
+    assert!(backend.has_no_request());
 }
 
 #[test]
-fn a_request_without_one_id_or_host_is_refused() {
+fn missing_or_repeated_id_or_host_is_refused() {
     let backend = Backend::start();
     let gateway = gateway(&backend);
     let mut client = gateway.connect();
-    client.say(&format!("GET / HTTP/1.1\r\nHost: {HOST}\r\n\r\n"));
-    assert_eq!(client.answer().status(), 400);
-    assert_eq!(gateway.ask("GET", "/", "X-Request-Id: b\r\n", "").answer().status(), 400);
-    assert_eq!(gateway.ask("GET", "/", "Host: b\r\n", "").answer().status(), 400);
-    assert!(backend.is_quiet());
+    client.write_raw(&format!("GET / HTTP/1.1\r\nHost: {HOST}\r\n\r\n"));
+    assert_eq!(client.read_response().status(), 400);
+    assert_eq!(gateway.send_request("GET", "/", "X-Request-Id: b\r\n", "").read_response().status(), 400);
+    assert_eq!(gateway.send_request("GET", "/", "Host: b\r\n", "").read_response().status(), 400);
+    assert!(backend.has_no_request());
 }
 
 #[test]
-fn a_head_that_does_not_end_ends_its_connection() {
+fn incomplete_head_closes_connection() {
     let backend = Backend::start();
     let gateway = gateway(&backend);
     let mut client = gateway.connect();
-    client.say("GET / HTTP/1.1\r\nHost: a");
-    assert!(client.ends());
-    // On a connection that was used before as well.
+    client.write_raw("GET / HTTP/1.1\r\nHost: a");
+    assert!(client.is_closed());
+    // The same on a connection that has served a request.
     let mut client = gateway.get("/");
-    backend.next().answer(200, SOUND, "");
-    client.answer();
-    client.say("GET / HTTP/1.1\r\nHost: a");
-    assert!(client.ends());
+    backend.next_request().respond(200, VALID_HEADERS, "");
+    client.read_response();
+    client.write_raw("GET / HTTP/1.1\r\nHost: a");
+    assert!(client.is_closed());
     assert_eq!(gateway.count(Cause::ClientTimedOut), 2);
 }
 
 #[test]
-fn a_body_that_does_not_come_is_refused_with_a_promise() {
+fn missing_body_is_refused_as_not_executed() {
     let backend = Backend::start();
     let gateway = gateway(&backend);
-    let mut client = gateway.ask("POST", "/", "Content-Length: 5\r\n", "");
-    client.say("half");
-    assert_eq!(client.answer().status(), 408);
-    assert!(client.ends());
-    assert!(backend.is_quiet());
+    let mut client = gateway.send_request("POST", "/", "Content-Length: 5\r\n", "");
+    client.write_raw("half");
+    assert_eq!(client.read_response().status(), 408);
+    assert!(client.is_closed());
+    assert!(backend.has_no_request());
 }
 
 #[test]
-fn a_connection_at_rest_ends_after_its_time() {
+fn idle_connection_is_closed_after_timeout() {
     let backend = Backend::start();
     let gateway = gateway(&backend);
     let mut silent = gateway.connect();
     let mut used = gateway.get("/");
-    backend.next().answer(200, SOUND, "");
-    assert_eq!(used.answer().status(), 200);
-    assert!(silent.ends() && used.ends());
+    backend.next_request().respond(200, VALID_HEADERS, "");
+    assert_eq!(used.read_response().status(), 200);
+    assert!(silent.is_closed() && used.is_closed());
 }
 
-/// Empty lines ahead of a request are no part of it, and none of them keeps a connection.
+/// Empty lines before a request are not part of it and do not keep a connection open.
 #[test]
-fn a_connection_that_sends_empty_lines_alone_ends_after_its_time() {
+fn connection_with_only_empty_lines_is_closed_after_timeout() {
     let backend = Backend::start();
     let gateway = gateway(&backend);
     let mut client = gateway.connect();
-    client.say("\r\n");
-    assert!(client.ends());
+    client.write_raw("\r\n");
+    assert!(client.is_closed());
 }
 
 #[test]
-fn where_there_is_no_room_connections_at_rest_end() {
+fn idle_connections_are_evicted_at_the_limit() {
     let backend = Backend::start();
     let routing = configuration(1, &route("/", "mutating", ""), "");
     let gateway = Gateway::with(routing, &[backend.address], |settings| settings.max_client_connections = 2);
     let mut held: Vec<_> = (0..2).map(|_| gateway.connect()).collect();
     for client in &mut held {
-        client.ask("GET", "/", "", "");
-        backend.next().answer(200, SOUND, "");
-        assert_eq!(client.answer().status(), 200);
+        client.send_request("GET", "/", "", "");
+        backend.next_request().respond(200, VALID_HEADERS, "");
+        assert_eq!(client.read_response().status(), 200);
     }
     let mut further = gateway.get("/");
-    backend.next().answer(200, SOUND, "");
-    assert_eq!(further.answer().status(), 200);
-    assert!(held.iter_mut().any(Client::ends));
+    backend.next_request().respond(200, VALID_HEADERS, "");
+    assert_eq!(further.read_response().status(), 200);
+    assert!(held.iter_mut().any(Client::is_closed));
 }
--- a/crates/gateway/tests/serving/client_connections.rs
+++ b/crates/gateway/tests/serving/client_connections.rs
@@ -1,5 +1,5 @@
-//! How clients' connections end: no request of a client that keeps to what it was told may cross the end of its
-//! connection, and no refusal may be lost to it.
+//! Ends of client connections: a client that respects the announced idle time must not lose a request to a
+//! closed connection, and no refusal may be lost.
 
 use std::io::Write;
 use std::thread::sleep;
@@ -7,7 +7,7 @@
 
 use crankpick_gateway::{Cause, ConnectionEnds, EndReason};
 
-use crate::stand_ins::*;
+use crate::support::*;
 
 fn limits(idle_timeout_ms: u64) -> String {
     format!(r#","limits":{{"idle_timeout_ms":{idle_timeout_ms}}}"#)
@@ -18,156 +18,156 @@
     Gateway::start(routing, &[backend.address])
 }
 
-/// One request that is answered.
+/// Serves one request.
 fn serve_one(client: &mut Client, backend: &Backend) -> Message {
-    client.ask("GET", "/", "", "");
-    backend.next().answer(200, SOUND, "");
-    let answer = client.answer();
-    assert_eq!(answer.status(), 200);
-    answer
+    client.send_request("GET", "/", "", "");
+    backend.next_request().respond(200, VALID_HEADERS, "");
+    let response = client.read_response();
+    assert_eq!(response.status(), 200);
+    response
 }
 
-/// For how long the client may let its connection rest behind this answer.
-fn told_rest(answer: &Message) -> Duration {
-    let field = answer.header("keep-alive").expect("the answer says for how long its connection is kept");
-    let seconds = field.strip_prefix("timeout=").expect("a time-out").parse().expect("whole seconds");
+/// The idle time that the response announces.
+fn announced_idle(response: &Message) -> Duration {
+    let field = response.header("keep-alive").expect("the response announces a keep-alive timeout");
+    let seconds = field.strip_prefix("timeout=").expect("a timeout").parse().expect("whole seconds");
     Duration::from_secs(seconds)
 }
 
 #[test]
-fn a_client_is_told_how_long_its_connection_may_rest() {
+fn idle_timeout_is_announced_to_client() {
     let backend = Backend::start();
-    for (idle_timeout_ms, told) in [(15_000, 12), (2_000, 1), (300, 1)] {
+    for (idle_timeout_ms, announced) in [(15_000, 12), (2_000, 1), (300, 1)] {
         let gateway = gateway(&backend, idle_timeout_ms);
-        let answer = serve_one(&mut gateway.connect(), &backend);
-        assert_eq!(told_rest(&answer), Duration::from_secs(told), "{idle_timeout_ms} ms");
+        let response = serve_one(&mut gateway.connect(), &backend);
+        assert_eq!(announced_idle(&response), Duration::from_secs(announced), "{idle_timeout_ms} ms");
     }
 }
 
-/// What concerns the connection alone is named by `Connection`, so that nobody in between passes it on.
+/// Hop-by-hop fields must be listed in `Connection`, so that intermediaries do not forward them.
 #[test]
-fn the_rest_is_told_as_an_option_of_the_connection() {
+fn keep_alive_is_listed_in_connection_header() {
     let backend = Backend::start();
     let gateway = gateway(&backend, 15_000);
-    let answer = serve_one(&mut gateway.connect(), &backend);
-    assert_eq!(answer.header("connection"), Some("keep-alive"));
+    let response = serve_one(&mut gateway.connect(), &backend);
+    assert_eq!(response.header("connection"), Some("keep-alive"));
 }
 
 #[test]
-fn a_refusal_tells_it_as_well() {
+fn idle_timeout_is_announced_with_refusal() {
     let backend = Backend::start();
     let routing = configuration(1, &route("/known/", "mutating", ""), &limits(15_000));
     let gateway = Gateway::start(routing, &[backend.address]);
-    let answer = gateway.get("/unknown").answer();
-    assert_eq!((answer.status(), told_rest(&answer)), (404, Duration::from_secs(12)));
+    let response = gateway.get("/unknown").read_response();
+    assert_eq!((response.status(), announced_idle(&response)), (404, Duration::from_secs(12)));
 }
 
-/// A limit of less than a second can't be told; what was told holds.
+/// A limit below one second cannot be announced; the announced time applies.
 #[test]
-fn a_connection_is_kept_for_as_long_as_its_client_was_told() {
+fn connection_is_kept_for_announced_time() {
     let backend = Backend::start();
     let gateway = gateway(&backend, 300);
     let mut client = gateway.connect();
-    let told = told_rest(&serve_one(&mut client, &backend));
-    sleep(told);
+    let announced = announced_idle(&serve_one(&mut client, &backend));
+    sleep(announced);
     serve_one(&mut client, &backend);
 }
 
 #[test]
-fn a_smaller_limit_binds_only_answers_that_tell_it() {
+fn shorter_limit_applies_only_after_it_was_announced() {
     let backend = Backend::start();
     let gateway = gateway(&backend, 2_500);
     let mut client = gateway.connect();
-    let told = told_rest(&serve_one(&mut client, &backend));
-    assert_eq!(told, Duration::from_secs(2));
+    let announced = announced_idle(&serve_one(&mut client, &backend));
+    assert_eq!(announced, Duration::from_secs(2));
     let smaller = configuration(2, &route("/", "mutating", ""), &limits(100));
     gateway.shared.publish_routing(smaller);
-    sleep(told);
-    let answer = serve_one(&mut client, &backend);
-    assert_eq!(told_rest(&answer), Duration::from_secs(1));
+    sleep(announced);
+    let response = serve_one(&mut client, &backend);
+    assert_eq!(announced_idle(&response), Duration::from_secs(1));
 }
 
-/// Keys, routes and a configuration that is out of date are judged from the head, before the body is there.
+/// Keys, routes and outdated configurations are checked by the head, before the body has arrived.
 #[test]
-fn a_refusal_waits_for_the_body_and_its_connection_serves_on() {
+fn refusal_waits_for_body_and_connection_is_reused() {
     let backend = Backend::start();
     let routing = configuration(1, &route("/known/", "mutating", ""), "");
     let gateway = Gateway::start(routing, &[backend.address]);
     let body = "x".repeat(20_000);
     let mut client = gateway.connect();
     let head = format!("POST /unknown HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: {ID}\r\n");
-    client.say(&format!("{head}Content-Length: {}\r\n\r\n{}", body.len(), &body[..10_000]));
+    client.write_raw(&format!("{head}Content-Length: {}\r\n\r\n{}", body.len(), &body[..10_000]));
     while gateway.count(Cause::Requested) == 0 {
         std::thread::yield_now();
     }
-    // The gateway has one thread: whatever it made of the part, it did so before this answer.
-    assert_eq!(gateway.get("/other").answer().status(), 404);
-    client.say(&body[10_000..]);
-    let answer = client.answer();
-    assert_eq!((answer.status(), answer.header("connection")), (404, Some("keep-alive")));
-    client.ask("GET", "/known/", "", "");
-    backend.next().answer(200, SOUND, "");
-    assert_eq!(client.answer().status(), 200);
+    // The gateway is single-threaded: it has processed the first part before it sends this response.
+    assert_eq!(gateway.get("/other").read_response().status(), 404);
+    client.write_raw(&body[10_000..]);
+    let response = client.read_response();
+    assert_eq!((response.status(), response.header("connection")), (404, Some("keep-alive")));
+    client.send_request("GET", "/known/", "", "");
+    backend.next_request().respond(200, VALID_HEADERS, "");
+    assert_eq!(client.read_response().status(), 200);
 }
 
-/// What is too long to be read for nothing ends with its refusal, which says so.
+/// A body too long to be discarded closes the connection, and the refusal announces that.
 #[test]
-fn a_refusal_of_a_long_body_says_that_it_ends_the_connection() {
+fn refusal_of_long_body_announces_close() {
     let backend = Backend::start();
     let routing = configuration(1, &route("/known/", "mutating", ""), "");
     let gateway = Gateway::start(routing, &[backend.address]);
-    let mut client = gateway.ask("POST", "/unknown", "", &"x".repeat(300_000));
-    let answer = client.answer();
-    assert_eq!((answer.status(), answer.header("connection")), (404, Some("close")));
-    assert!(client.ends());
+    let mut client = gateway.send_request("POST", "/unknown", "", &"x".repeat(300_000));
+    let response = client.read_response();
+    assert_eq!((response.status(), response.header("connection")), (404, Some("close")));
+    assert!(client.is_closed());
 }
 
-/// A client that waits to be asked for its body isn't asked for one that nobody needs.
+/// A client that sends `Expect: 100-continue` is not asked for a body that is not needed.
 #[test]
-fn a_body_that_waits_to_be_asked_for_is_not_asked_for_in_vain() {
+fn body_is_not_requested_for_refused_expect_continue() {
     let backend = Backend::start();
     let routing = configuration(1, &route("/known/", "mutating", ""), "");
     let gateway = Gateway::start(routing, &[backend.address]);
     let mut client = gateway.connect();
     let head = format!("POST /unknown HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: {ID}\r\n");
-    client.say(&format!("{head}Content-Length: 5\r\nExpect: 100-continue\r\n\r\n"));
-    let answer = client.answer();
-    assert_eq!((answer.status(), answer.header("connection")), (404, Some("close")));
-    assert!(client.ends());
+    client.write_raw(&format!("{head}Content-Length: 5\r\nExpect: 100-continue\r\n\r\n"));
+    let response = client.read_response();
+    assert_eq!((response.status(), response.header("connection")), (404, Some("close")));
+    assert!(client.is_closed());
 }
 
-/// Room is made in order before connections at rest must be ended for it.
+/// Connections are closed in an orderly way before idle ones have to be evicted.
 #[test]
-fn where_few_places_are_left_connections_end_with_their_answers() {
+fn connections_close_after_response_when_nearly_full() {
     let backend = Backend::start();
     let routing = configuration(1, &route("/", "mutating", ""), "");
     let gateway = Gateway::with(routing, &[backend.address], |settings| settings.max_client_connections = 16);
     let mut clients: Vec<_> = (0..15).map(|_| gateway.connect()).collect();
     let mut closed = clients.iter_mut().map(|client| {
-        let answer = serve_one(client, &backend);
-        answer.header("connection") == Some("close")
+        let response = serve_one(client, &backend);
+        response.header("connection") == Some("close")
     });
     assert!(closed.any(|closed| closed));
     assert_eq!(gateway.count(Cause::ClientEvicted), 0);
 }
 
 #[test]
-fn an_answer_that_ends_its_connection_announces_no_rest() {
+fn closing_response_announces_no_keep_alive() {
     let backend = Backend::start();
     let gateway = gateway(&backend, 15_000);
     let mut client = gateway.connect();
     serve_one(&mut client, &backend);
     gateway.shared.begin_shutdown();
-    client.ask("GET", "/", DONE_SOON, "");
-    backend.next().answer(200, SOUND, "");
-    let answer = client.answer();
-    assert_eq!(answer.status(), 200);
-    assert_eq!((answer.header("connection"), answer.header("keep-alive")), (Some("close"), None));
+    client.send_request("GET", "/", DEADLINE_WITHIN_GRACE, "");
+    backend.next_request().respond(200, VALID_HEADERS, "");
+    let response = client.read_response();
+    assert_eq!(response.status(), 200);
+    assert_eq!((response.header("connection"), response.header("keep-alive")), (Some("close"), None));
 }
 
-/// Which answers announce a rest, by what the client said of its connection.
+/// Which responses announce an idle time, depending on the client's version and `Connection` header.
 #[test]
-fn no_rest_is_announced_to_a_client_whose_connection_ends() {
+fn keep_alive_is_announced_only_if_client_keeps_connection() {
     let backend = Backend::start();
     let gateway = gateway(&backend, 15_000);
     let kept = (Some("keep-alive"), Some("timeout=12"));
@@ -179,108 +179,108 @@
     ];
     for (version, fields, expected) in cases {
         let mut client = gateway.connect();
-        client.say(&format!("GET / {version}\r\nHost: {HOST}\r\nX-Request-Id: {ID}\r\n{fields}\r\n"));
-        backend.next().answer(200, SOUND, "");
-        let answer = client.answer();
-        let told = (answer.header("connection"), answer.header("keep-alive"));
-        assert_eq!(told, expected, "{version} {fields}");
-        assert!(expected == kept || client.ends(), "{version} {fields}");
+        client.write_raw(&format!("GET / {version}\r\nHost: {HOST}\r\nX-Request-Id: {ID}\r\n{fields}\r\n"));
+        backend.next_request().respond(200, VALID_HEADERS, "");
+        let response = client.read_response();
+        let announced = (response.header("connection"), response.header("keep-alive"));
+        assert_eq!(announced, expected, "{version} {fields}");
+        assert!(expected == kept || client.is_closed(), "{version} {fields}");
     }
 }
 
-/// What comes behind the last request that is answered must not cost that answer: a connection that is closed over
-/// unread bytes is reset, and what its client has not taken yet is lost.
+/// Data after the last answered request must not cost that response: closing a connection with unread data
+/// resets it, and the client loses what it has not read yet.
 #[test]
-fn an_answer_is_not_lost_to_bytes_behind_its_request() {
+fn response_is_not_lost_to_unread_bytes() {
     let backend = Backend::start();
     let gateway = gateway(&backend, 15_000);
     let mut client = gateway.get("/");
-    let mut asked = backend.next();
-    // More than is read ahead of an answer.
-    client.ask("POST", "/", "", &"x".repeat(200_000));
+    let mut request = backend.next_request();
+    // More than the gateway reads ahead of a response.
+    client.send_request("POST", "/", "", &"x".repeat(200_000));
     gateway.shared.begin_shutdown();
     let body = "y".repeat(400_000);
-    asked.answer(200, SOUND, &body);
-    gateway.ended.recv_timeout(PATIENCE).expect("all is served");
-    let answer = client.answer();
-    assert_eq!((answer.status(), answer.body.len()), (200, body.len()));
+    request.respond(200, VALID_HEADERS, &body);
+    gateway.ended.recv_timeout(TEST_TIMEOUT).expect("all is served");
+    let response = client.read_response();
+    assert_eq!((response.status(), response.body.len()), (200, body.len()));
 }
 
-/// A client on a slow link may send its body for longer than its refusal is on its way.
+/// A client on a slow link may still be sending its body when the refusal has been sent.
 #[test]
-fn a_refusal_is_not_lost_to_a_long_body_that_still_comes() {
+fn refusal_is_not_lost_while_long_body_arrives() {
     let backend = Backend::start();
     let routing = configuration(1, &route("/known/", "mutating", ""), "");
     let gateway = Gateway::start(routing, &[backend.address]);
-    let mut client = gateway.ask("POST", "/unknown", "Content-Length: 1000000\r\n", "");
+    let mut client = gateway.send_request("POST", "/unknown", "Content-Length: 1000000\r\n", "");
     let pieces = 50;
     for _ in 0..pieces {
-        client.say(&"x".repeat(1_000_000 / pieces));
+        client.write_raw(&"x".repeat(1_000_000 / pieces));
         sleep(Duration::from_millis(20));
     }
-    assert_eq!(client.answer().status(), 404);
-    assert!(client.ends());
+    assert_eq!(client.read_response().status(), 404);
+    assert!(client.is_closed());
 }
 
-/// What the gateway ends must not say that it is kept.
+/// A response must not announce keep-alive if the gateway closes the connection.
 #[test]
-fn an_end_is_told_to_a_client_of_the_older_version_that_asked_for_a_kept_connection() {
+fn close_is_announced_to_http10_keep_alive_client() {
     let backend = Backend::start();
     let gateway = gateway(&backend, 15_000);
     let mut client = gateway.connect();
     gateway.shared.begin_shutdown();
     let head = format!("GET / HTTP/1.0\r\nHost: {HOST}\r\nX-Request-Id: {ID}\r\n");
-    client.say(&format!("{head}{DONE_SOON}Connection: keep-alive\r\n\r\n"));
-    backend.next().answer(200, SOUND, "");
-    let answer = client.answer();
-    assert_eq!((answer.header("connection"), answer.header("keep-alive")), (Some("close"), None));
-    assert!(client.ends());
+    client.write_raw(&format!("{head}{DEADLINE_WITHIN_GRACE}Connection: keep-alive\r\n\r\n"));
+    backend.next_request().respond(200, VALID_HEADERS, "");
+    let response = client.read_response();
+    assert_eq!((response.header("connection"), response.header("keep-alive")), (Some("close"), None));
+    assert!(client.is_closed());
 }
 
-/// A body that drips never stands still, and yet must not hold its refusal and its place for long.
+/// A slowly sent body never stalls, but must not delay its refusal or occupy its connection for long.
 #[test]
-fn a_refusal_does_not_wait_for_a_body_that_drips() {
+fn refusal_does_not_wait_for_slow_body() {
     let backend = Backend::start();
     let limits = r#","limits":{"header_timeout_ms":500}"#;
     let routing = configuration(1, &route("/known/", "mutating", ""), limits);
     let gateway = Gateway::start(routing, &[backend.address]);
-    let mut client = gateway.ask("POST", "/unknown", "Content-Length: 200000\r\n", "");
-    let mut dripping = client.second_handle();
+    let mut client = gateway.send_request("POST", "/unknown", "Content-Length: 200000\r\n", "");
+    let mut dripping = client.clone_stream();
     std::thread::spawn(move || {
-        // It ends with the connection.
+        // The write fails when the connection is closed.
         while dripping.write_all(b"x").is_ok() {
             sleep(Duration::from_millis(20));
         }
     });
-    let answer = client.answer();
-    assert_eq!((answer.status(), answer.header("connection")), (404, Some("close")));
-    assert!(client.ends());
+    let response = client.read_response();
+    assert_eq!((response.status(), response.header("connection")), (404, Some("close")));
+    assert!(client.is_closed());
 }
 
 #[test]
-fn ends_are_counted_by_reason_with_their_rest() {
+fn connection_ends_are_counted_by_reason_with_idle_time() {
     let backend = Backend::start();
     let gateway = gateway(&backend, 100);
-    let mut resting = gateway.connect();
-    let told = told_rest(&serve_one(&mut resting, &backend));
+    let mut idle_client = gateway.connect();
+    let announced = announced_idle(&serve_one(&mut idle_client, &backend));
     let mut left = gateway.connect();
     serve_one(&mut left, &backend);
-    left.leave();
-    assert!(resting.ends());
+    left.disconnect();
+    assert!(idle_client.is_closed());
     let idle = counted_end(&gateway, EndReason::Idle);
     assert_eq!((idle.number, counted_end(&gateway, EndReason::Closed).number), (1, 1));
-    assert!(idle.min_idle.expect("it rested") > told);
+    assert!(idle.min_idle.expect("it was idle") > announced);
 }
 
-/// What was counted of the ends for one reason. A client may see an end before it is counted.
+/// The counted ends for one reason. A client may see an end before it is counted.
 fn counted_end(gateway: &Gateway, reason: EndReason) -> ConnectionEnds {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
         let ends = gateway.shared.connection_ends();
         if let Some(counted) = ends.into_iter().find(|end| end.reason == reason) {
             return counted;
         }
-        assert!(Instant::now() < until, "an end is counted: {reason:?}");
+        assert!(Instant::now() < until, "the end is not counted: {reason:?}");
         std::thread::yield_now();
     }
 }
--- a/crates/gateway/tests/serving/freshness.rs
+++ b/crates/gateway/tests/serving/freshness.rs
@@ -1,10 +1,10 @@
-//! What a gateway refuses and serves while its configuration may be out of date.
+//! Which requests are refused and served with a possibly outdated configuration.
 
 use std::time::Duration;
 
 use crankpick_gateway::Cause;
 
-use crate::stand_ins::*;
+use crate::support::*;
 
 const TENANTS: &str = r#","tenants":[{"name":"a","api_keys":["k1"]}]"#;
 const KNOWN_KEY: &str = "Authorization: Bearer k1\r\n";
@@ -18,52 +18,52 @@
     configuration(1, &routes.join(","), TENANTS)
 }
 
-/// One whose configuration was never known to be the newest.
+/// A gateway whose configuration was never confirmed to be the newest.
 fn unconfirmed(backend: &Backend) -> Gateway {
-    let gateway = Gateway::knowing_nothing(|_| {});
+    let gateway = Gateway::unconfigured(|_| {});
     gateway.shared.publish_routing(routing());
-    gateway.shared.publish_backends(table("s", &[backend.address]));
+    gateway.shared.publish_backends(backend_table("s", &[backend.address]));
     gateway
 }
 
-fn assert_refused_for_now(answer: &Message) {
-    assert_eq!((answer.status(), answer.text().starts_with(r#"{"code":5035,"#)), (503, true));
-    assert!(answer.header("retry-after").is_some());
+fn assert_temporary_refusal(response: &Message) {
+    assert_eq!((response.status(), response.text().starts_with(r#"{"code":5035,"#)), (503, true));
+    assert!(response.header("retry-after").is_some());
 }
 
 fn assert_served(gateway: &Gateway, backend: &Backend, path: &str, headers: &str) {
-    let mut client = gateway.ask("GET", path, headers, "");
-    backend.next().answer(200, SOUND, "done");
-    assert_eq!(client.answer().text(), "done");
+    let mut client = gateway.send_request("GET", path, headers, "");
+    backend.next_request().respond(200, VALID_HEADERS, "done");
+    assert_eq!(client.read_response().text(), "done");
 }
 
 #[test]
-fn an_unknown_key_or_route_is_refused_for_good_only_by_a_current_configuration() {
+fn unknown_key_or_route_is_refused_permanently_only_if_configuration_is_current() {
     let backend = Backend::start();
     let gateway = unconfirmed(&backend);
-    assert_refused_for_now(&gateway.ask("GET", "/keyed/", UNKNOWN_KEY, "").answer());
-    assert_refused_for_now(&gateway.ask("GET", "/keyed/", "", "").answer());
-    assert_refused_for_now(&gateway.get("/none/").answer());
+    assert_temporary_refusal(&gateway.send_request("GET", "/keyed/", UNKNOWN_KEY, "").read_response());
+    assert_temporary_refusal(&gateway.send_request("GET", "/keyed/", "", "").read_response());
+    assert_temporary_refusal(&gateway.get("/none/").read_response());
     assert_eq!(gateway.count(Cause::NotCurrent), 3);
     gateway.shared.confirm_routing(gateway.shared.now());
-    assert_eq!(gateway.ask("GET", "/keyed/", UNKNOWN_KEY, "").answer().status(), 401);
-    assert_eq!(gateway.get("/none/").answer().status(), 404);
-    assert!(backend.is_quiet());
+    assert_eq!(gateway.send_request("GET", "/keyed/", UNKNOWN_KEY, "").read_response().status(), 401);
+    assert_eq!(gateway.get("/none/").read_response().status(), 404);
+    assert!(backend.has_no_request());
 }
 
 #[test]
-fn a_configuration_that_was_current_too_long_ago_refuses_nothing_for_good() {
+fn outdated_configuration_refuses_nothing_permanently() {
     let backend = Backend::start();
     let gateway = Gateway::with(routing(), &[backend.address], |settings| {
         settings.freshness.refuse_within = Duration::ZERO;
     });
-    assert_refused_for_now(&gateway.ask("GET", "/keyed/", UNKNOWN_KEY, "").answer());
-    assert_refused_for_now(&gateway.get("/none/").answer());
-    assert!(backend.is_quiet());
+    assert_temporary_refusal(&gateway.send_request("GET", "/keyed/", UNKNOWN_KEY, "").read_response());
+    assert_temporary_refusal(&gateway.get("/none/").read_response());
+    assert!(backend.has_no_request());
 }
 
 #[test]
-fn what_an_old_configuration_knows_is_served() {
+fn known_key_and_route_are_served_by_old_configuration() {
     let backend = Backend::start();
     let gateway = unconfirmed(&backend);
     assert_served(&gateway, &backend, "/public/", "");
@@ -71,21 +71,22 @@
     assert_eq!(gateway.count(Cause::NotCurrent), 0);
 }
 
-/// Where the deployment bounds withdrawn keys, one that may have been withdrawn for longer is accepted no more.
+/// If the deployment bounds the use of revoked keys, a key is not accepted after the configuration has been
+/// unconfirmed for that long.
 #[test]
-fn keys_are_accepted_no_longer_than_withdrawn_ones_may_be() {
+fn keys_are_accepted_within_revocation_bound() {
     let backend = Backend::start();
-    for (within, accepted) in [(ALWAYS, true), (Duration::ZERO, false)] {
+    for (within, accepted) in [(LONGER_THAN_ANY_TEST, true), (Duration::ZERO, false)] {
         let gateway = Gateway::with(routing(), &[backend.address], |settings| {
             settings.freshness.accept_keys_within = Some(within);
         });
         if accepted {
             assert_served(&gateway, &backend, "/keyed/", KNOWN_KEY);
         } else {
-            assert_refused_for_now(&gateway.ask("GET", "/keyed/", KNOWN_KEY, "").answer());
+            assert_temporary_refusal(&gateway.send_request("GET", "/keyed/", KNOWN_KEY, "").read_response());
         }
-        // Nobody needs a key here.
+        // Public routes need no key.
         assert_served(&gateway, &backend, "/public/", "");
-        assert!(backend.is_quiet());
+        assert!(backend.has_no_request());
     }
 }
--- a/crates/gateway/tests/serving/main.rs
+++ b/crates/gateway/tests/serving/main.rs
@@ -1,4 +1,4 @@
-//! The gateway on sockets of this machine, one test for each rule that it keeps.
+//! Tests of the gateway over local sockets, one for each documented rule.
 
 mod admission;
 mod bounds;
@@ -9,5 +9,5 @@
 mod retries;
 mod send_endings;
 mod shutdown;
-mod stand_ins;
 mod streams;
+mod support;
--- a/crates/gateway/tests/serving/send_endings.rs
+++ b/crates/gateway/tests/serving/send_endings.rs
@@ -1,174 +1,191 @@
-//! Each way in which a send to a backend can end, for each class of request: whether it is sent again, and what the
-//! client gets. The table stands in `docs/answers-and-repeats.md`.
+//! Every way in which a send to a backend can end, for each class of request: whether it is retried, and
+//! what the client receives. The table is in `docs/answers-and-repeats.md`.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use crate::stand_ins::*;
+use crate::support::*;
 
-/// More than a socket's buffers take from a sender whose other side doesn't read.
+/// More than the socket buffers hold if the receiver does not read.
 const LONG_BODY: usize = 8 << 20;
-/// What a backend's socket holds of what it doesn't read.
+/// Receive buffer size of a backend's socket.
 const RECEIVE_BUFFER: usize = 64 << 10;
 const LONG_BODIES: &str = r#","limits":{"max_body_bytes":33554432}"#;
 const NOT_EXECUTED: &str = "X-Request-Id: 9c41d07be2a35f68\r\nX-Not-Executed: 1\r\n";
 const FOREIGN: &str = "X-Request-Id: another\r\nX-Response-Seal: 1\r\n";
 const UNSEALED: &str = "X-Request-Id: 9c41d07be2a35f68\r\n";
-/// Between two looks for a connection, so that those that wait leave the cores to those that work.
-const BETWEEN_LOOKS: Duration = Duration::from_millis(1);
+/// Interval between two polls for a connection, so that waiting threads leave the CPU to working ones.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 const EVENT: &str = "id: 1\ndata: x\n\n";
 const NEXT_EVENT: &str = "id: 2\ndata: y\n\n";
 const DONE: &str = "done";
-/// Of requests whose backend stays silent, and which are not to be sent elsewhere.
+/// For requests whose backend stays silent and which must not be retried.
 const SHORT_DEADLINE: &str = "X-Deadline-Ms: 1500\r\n";
 
-/// What a route and a method say of whether a request may run twice.
+/// Route type and method, which determine whether a request may be executed twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Class {
+enum RequestClass {
     IdempotentGet,
     IdempotentPost,
-    /// A safe method alone allows nothing: the route's type decides.
+    /// A safe method alone does not permit a retry: the route type decides.
     MutatingGet,
     MutatingPost,
-    /// With a key of the client's own, which is the backend's affair.
+    /// With the client's own idempotency key, which only the backend interprets.
     MutatingKeyed,
     Stream,
     ResumableStream,
 }
 
-const CLASSES: [Class; 7] = [
-    Class::IdempotentGet,
-    Class::IdempotentPost,
-    Class::MutatingGet,
-    Class::MutatingPost,
-    Class::MutatingKeyed,
-    Class::Stream,
-    Class::ResumableStream,
+const CLASSES: [RequestClass; 7] = [
+    RequestClass::IdempotentGet,
+    RequestClass::IdempotentPost,
+    RequestClass::MutatingGet,
+    RequestClass::MutatingPost,
+    RequestClass::MutatingKeyed,
+    RequestClass::Stream,
+    RequestClass::ResumableStream,
 ];
 
-impl Class {
+impl RequestClass {
     fn repeatable(self) -> bool {
-        matches!(self, Class::IdempotentGet | Class::IdempotentPost | Class::ResumableStream)
+        matches!(
+            self,
+            RequestClass::IdempotentGet | RequestClass::IdempotentPost | RequestClass::ResumableStream
+        )
     }
 
     fn streams(self) -> bool {
-        matches!(self, Class::Stream | Class::ResumableStream)
+        matches!(self, RequestClass::Stream | RequestClass::ResumableStream)
     }
 
     fn has_body(self) -> bool {
-        !matches!(self, Class::IdempotentGet | Class::MutatingGet)
+        !matches!(self, RequestClass::IdempotentGet | RequestClass::MutatingGet)
     }
 
     fn route(self) -> String {
         match self {
-            Class::IdempotentGet | Class::IdempotentPost => route("/", "idempotent", r#","retries":2"#),
-            Class::MutatingGet | Class::MutatingPost | Class::MutatingKeyed => {
+            RequestClass::IdempotentGet | RequestClass::IdempotentPost => {
+                route("/", "idempotent", r#","retries":2"#)
+            }
+            RequestClass::MutatingGet | RequestClass::MutatingPost | RequestClass::MutatingKeyed => {
                 route("/", "mutating", r#","retries":2"#)
             }
-            Class::Stream => route("/", "streaming", r#","retries":2"#),
-            Class::ResumableStream => route("/", "streaming", r#","retries":2,"resume":true"#),
+            RequestClass::Stream => route("/", "streaming", r#","retries":2"#),
+            RequestClass::ResumableStream => route("/", "streaming", r#","retries":2,"resume":true"#),
         }
     }
 
-    fn ask(self, client: &mut Client, headers: &str, body: &str) {
-        let key = if self == Class::MutatingKeyed { "Idempotency-Key: k\r\n" } else { "" };
+    fn send_request(self, client: &mut Client, headers: &str, body: &str) {
+        let key = if self == RequestClass::MutatingKeyed { "Idempotency-Key: k\r\n" } else { "" };
         let method = if self.has_body() { "POST" } else { "GET" };
-        client.ask(method, "/", &format!("{headers}{key}"), if self.has_body() { body } else { "" });
+        client.send_request(method, "/", &format!("{headers}{key}"), if self.has_body() { body } else { "" });
     }
 
-    /// A whole sound answer.
-    fn sound_answer(self) -> String {
+    /// A complete valid response.
+    fn valid_response(self) -> String {
         if self.streams() {
             let fields = "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n";
-            format!("HTTP/1.1 200 OK\r\n{SOUND}{fields}\r\n{:x}\r\n{EVENT}\r\n0\r\n\r\n", EVENT.len())
+            format!("HTTP/1.1 200 OK\r\n{VALID_HEADERS}{fields}\r\n{:x}\r\n{EVENT}\r\n0\r\n\r\n", EVENT.len())
         } else {
-            format!("HTTP/1.1 200 OK\r\n{SOUND}Content-Length: {}\r\n\r\n{DONE}", DONE.len())
+            format!("HTTP/1.1 200 OK\r\n{VALID_HEADERS}Content-Length: {}\r\n\r\n{DONE}", DONE.len())
         }
     }
 
-    /// A head without a length, and all or a part of the body.
-    fn unframed_answer(self) -> String {
+    /// A head without framing, and all or part of the body.
+    fn unframed_response(self) -> String {
         if self.streams() {
-            format!("HTTP/1.1 200 OK\r\n{SOUND}Content-Type: text/event-stream\r\n\r\n{EVENT}")
+            format!("HTTP/1.1 200 OK\r\n{VALID_HEADERS}Content-Type: text/event-stream\r\n\r\n{EVENT}")
         } else {
-            format!("HTTP/1.1 200 OK\r\n{SOUND}\r\n{DONE}")
+            format!("HTTP/1.1 200 OK\r\n{VALID_HEADERS}\r\n{DONE}")
         }
     }
 }
 
-/// How much of a request its backend reads before it does something.
+/// How much of a request the backend reads before it acts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ReadSoFar {
+enum RequestPart {
     PartOfHead,
     PartOfBody,
     All,
 }
 
-/// What a backend does then.
+/// What the backend does then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Act {
+enum BackendAction {
     Close,
     Reset,
     Silence,
     Garbage,
-    /// Says that it did not run it, and keeps the connection.
+    /// Confirms that it did not execute the request, and keeps the connection.
     Rejects,
-    /// Says that it is another backend than the one expected.
+    /// Responds that it is not the expected backend.
     Misdirected,
-    /// A 503 without the word that nothing ran.
-    RefusesWithoutPromise,
-    Fails,
-    AnswersAnother,
-    AnswersUnsealed,
-    PartOfAnswerThenClose,
-    PartOfAnswerThenReset,
-    /// An answer without a length that ends with its connection.
+    /// A 503 without confirmation that nothing was executed.
+    RefusesUnconfirmed,
+    ServerError,
+    ForeignResponse,
+    UnsealedResponse,
+    PartialResponseThenClose,
+    PartialResponseThenReset,
+    /// A response without framing that is delimited by the end of the connection.
     UnframedThenClose,
     UnframedThenReset,
     UnframedThenSilence,
 }
 
-/// What becomes of the request.
+/// The expected outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
-    /// It goes to a second backend.
-    SentAgain,
-    /// It ends with this status.
-    Ends(u16),
-    /// The event that came was passed on; the stream goes on behind it at a second backend.
-    GoesOn,
-    /// The event that came was passed on; the answer ends so that it can't look whole.
-    BreaksOff,
+enum ExpectedOutcome {
+    /// It is sent to a second backend.
+    Retried,
+    /// The client receives this status.
+    Status(u16),
+    /// The first event was forwarded; the stream resumes after it at a second backend.
+    Resumed,
+    /// The first event was forwarded; the response ends so that it does not look complete.
+    Truncated,
 }
 
-impl Act {
-    fn perform(self, class: Class, mut stream: TcpStream) -> Option<TcpStream> {
+impl BackendAction {
+    fn perform(self, class: RequestClass, mut stream: TcpStream) -> Option<TcpStream> {
         let said = match self {
-            Act::Garbage => "what is this\r\n\r\n".to_owned(),
-            Act::Rejects => format!("HTTP/1.1 503 Full\r\n{NOT_EXECUTED}Content-Length: 4\r\n\r\nfull"),
-            Act::Misdirected => "HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n".to_owned(),
-            Act::RefusesWithoutPromise => {
-                format!("HTTP/1.1 503 No\r\n{SOUND}Content-Length: 2\r\n\r\nno")
+            BackendAction::Garbage => "what is this\r\n\r\n".to_owned(),
+            BackendAction::Rejects => {
+                format!("HTTP/1.1 503 Full\r\n{NOT_EXECUTED}Content-Length: 4\r\n\r\nfull")
+            }
+            BackendAction::Misdirected => "HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n".to_owned(),
+            BackendAction::RefusesUnconfirmed => {
+                format!("HTTP/1.1 503 No\r\n{VALID_HEADERS}Content-Length: 2\r\n\r\nno")
+            }
+            BackendAction::ServerError => {
+                format!("HTTP/1.1 500 No\r\n{VALID_HEADERS}Content-Length: 2\r\n\r\nno")
             }
-            Act::Fails => format!("HTTP/1.1 500 No\r\n{SOUND}Content-Length: 2\r\n\r\nno"),
-            Act::AnswersAnother => format!("HTTP/1.1 200 OK\r\n{FOREIGN}Content-Length: 2\r\n\r\nno"),
-            Act::AnswersUnsealed => format!("HTTP/1.1 200 OK\r\n{UNSEALED}Content-Length: 2\r\n\r\nno"),
-            Act::PartOfAnswerThenClose | Act::PartOfAnswerThenReset => {
-                format!("HTTP/1.1 200 OK\r\n{SOUND}Content-Length: 9\r\n\r\nhalf")
+            BackendAction::ForeignResponse => {
+                format!("HTTP/1.1 200 OK\r\n{FOREIGN}Content-Length: 2\r\n\r\nno")
             }
-            Act::UnframedThenClose | Act::UnframedThenReset | Act::UnframedThenSilence => {
-                class.unframed_answer()
+            BackendAction::UnsealedResponse => {
+                format!("HTTP/1.1 200 OK\r\n{UNSEALED}Content-Length: 2\r\n\r\nno")
             }
-            Act::Close | Act::Reset | Act::Silence => String::new(),
+            BackendAction::PartialResponseThenClose | BackendAction::PartialResponseThenReset => {
+                format!("HTTP/1.1 200 OK\r\n{VALID_HEADERS}Content-Length: 9\r\n\r\nhalf")
+            }
+            BackendAction::UnframedThenClose
+            | BackendAction::UnframedThenReset
+            | BackendAction::UnframedThenSilence => class.unframed_response(),
+            BackendAction::Close | BackendAction::Reset | BackendAction::Silence => String::new(),
         };
         stream.write_all(said.as_bytes()).expect("the gateway takes it");
         match self {
-            Act::Close | Act::PartOfAnswerThenClose | Act::UnframedThenClose => {
+            BackendAction::Close
+            | BackendAction::PartialResponseThenClose
+            | BackendAction::UnframedThenClose => {
                 stream.shutdown(std::net::Shutdown::Write).expect("open");
                 Some(stream)
             }
-            Act::Reset | Act::PartOfAnswerThenReset | Act::UnframedThenReset => {
+            BackendAction::Reset
+            | BackendAction::PartialResponseThenReset
+            | BackendAction::UnframedThenReset => {
                 reset(stream);
                 None
             }
@@ -176,18 +193,23 @@
         }
     }
 
-    /// The rule for each cell. What isn't idempotent goes again only where it provably did not run.
-    fn fate(self, class: Class) -> Fate {
-        if class.streams() && matches!(self, Act::UnframedThenReset | Act::UnframedThenSilence) {
-            return if class.repeatable() { Fate::GoesOn } else { Fate::BreaksOff };
+    /// The rule for each case. Requests that are not idempotent are retried only if they were provably not
+    /// executed.
+    fn expected(self, class: RequestClass) -> ExpectedOutcome {
+        if class.streams()
+            && matches!(self, BackendAction::UnframedThenReset | BackendAction::UnframedThenSilence)
+        {
+            return if class.repeatable() { ExpectedOutcome::Resumed } else { ExpectedOutcome::Truncated };
         }
         match (self, class.repeatable()) {
-            (Act::Rejects | Act::Misdirected, _) => Fate::SentAgain,
-            (Act::UnframedThenClose, _) => Fate::Ends(200),
-            (Act::RefusesWithoutPromise, true) | (_, true) => Fate::SentAgain,
-            (Act::Fails, false) => Fate::Ends(500),
-            (Act::Silence | Act::UnframedThenSilence, false) => Fate::Ends(504),
-            (_, false) => Fate::Ends(502),
+            (BackendAction::Rejects | BackendAction::Misdirected, _) => ExpectedOutcome::Retried,
+            (BackendAction::UnframedThenClose, _) => ExpectedOutcome::Status(200),
+            (BackendAction::RefusesUnconfirmed, true) | (_, true) => ExpectedOutcome::Retried,
+            (BackendAction::ServerError, false) => ExpectedOutcome::Status(500),
+            (BackendAction::Silence | BackendAction::UnframedThenSilence, false) => {
+                ExpectedOutcome::Status(504)
+            }
+            (_, false) => ExpectedOutcome::Status(502),
         }
     }
 }
@@ -196,7 +218,7 @@
     socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("settable");
 }
 
-/// Two backends at one address: each send is a connection of its own, in their order.
+/// Two backends at one address: each send is a separate connection, in order.
 struct Backends {
     listener: TcpListener,
 }
@@ -209,39 +231,39 @@
         Backends { listener }
     }
 
-    fn gateway(&self, class: Class) -> Gateway {
+    fn gateway(&self, class: RequestClass) -> Gateway {
         let address = self.listener.local_addr().expect("bound");
         Gateway::start(configuration(1, &class.route(), LONG_BODIES), &[address, address])
     }
 
     /// The connection of the next send.
-    fn accept(&self, cell: &str) -> TcpStream {
-        let until = Instant::now() + PATIENCE;
+    fn accept(&self, case: &str) -> TcpStream {
+        let until = Instant::now() + TEST_TIMEOUT;
         loop {
             if let Ok((stream, _)) = self.listener.accept() {
                 stream.set_nonblocking(false).expect("settable");
-                stream.set_read_timeout(Some(PATIENCE)).expect("settable");
+                stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("settable");
                 return stream;
             }
-            assert!(Instant::now() < until, "no send: {cell}");
-            std::thread::sleep(BETWEEN_LOOKS);
+            assert!(Instant::now() < until, "no connection: {case}");
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    fn is_quiet(&self) -> bool {
+    fn has_no_connection(&self) -> bool {
         self.listener.accept().is_err()
     }
 }
 
-fn read_part(stream: &mut TcpStream, part: ReadSoFar) {
+fn read_part(stream: &mut TcpStream, part: RequestPart) {
     let mut byte = [0];
     stream.read_exact(&mut byte).expect("a request");
     let mut head = vec![byte[0]];
-    while part != ReadSoFar::PartOfHead && !head.ends_with(b"\r\n\r\n") {
+    while part != RequestPart::PartOfHead && !head.ends_with(b"\r\n\r\n") {
         stream.read_exact(&mut byte).expect("a head");
         head.push(byte[0]);
     }
-    if part == ReadSoFar::All {
+    if part == RequestPart::All {
         read_body(stream, &head);
     }
 }
@@ -254,72 +276,73 @@
     assert_eq!(read, length);
 }
 
-fn assert_answer(class: Class, client: &mut Client, cell: &str) {
+fn assert_response(class: RequestClass, client: &mut Client, case: &str) {
     let head = client.head();
-    assert_eq!(head.status(), 200, "{cell}");
+    assert_eq!(head.status(), 200, "{case}");
     if head.header("transfer-encoding").is_some() {
         let expected = if class.streams() { EVENT } else { DONE };
-        assert_eq!(client.chunk().as_deref(), Some(expected), "{cell}");
-        assert_eq!(client.chunk().as_deref(), Some(""), "{cell}");
+        assert_eq!(client.chunk().as_deref(), Some(expected), "{case}");
+        assert_eq!(client.chunk().as_deref(), Some(""), "{case}");
     } else {
-        assert_eq!(head.header("content-length"), Some("4"), "{cell}");
+        assert_eq!(head.header("content-length"), Some("4"), "{case}");
         let body: Vec<u8> = (0..DONE.len()).filter_map(|_| client.byte()).collect();
-        assert_eq!(body, DONE.as_bytes(), "{cell}");
+        assert_eq!(body, DONE.as_bytes(), "{case}");
     }
 }
 
-fn assert_event(client: &mut Client, cell: &str) {
-    assert_eq!(client.head().status(), 200, "{cell}");
-    assert_eq!(client.chunk().as_deref(), Some(EVENT), "{cell}");
+fn assert_event(client: &mut Client, case: &str) {
+    assert_eq!(client.head().status(), 200, "{case}");
+    assert_eq!(client.chunk().as_deref(), Some(EVENT), "{case}");
 }
 
-fn check(class: Class, part: ReadSoFar, act: Act) {
-    let cell = format!("{class:?}, read {part:?}, then {act:?}");
+fn check(class: RequestClass, part: RequestPart, action: BackendAction) {
+    let case = format!("{class:?}, read {part:?}, then {action:?}");
     let backends = Backends::start();
     let gateway = backends.gateway(class);
-    let fate = act.fate(class);
+    let expected = action.expected(class);
     let mut client = gateway.connect();
-    let waits = matches!(fate, Fate::Ends(504) | Fate::BreaksOff);
-    let headers = if waits { SHORT_DEADLINE } else { "" };
-    let body = if part == ReadSoFar::PartOfBody { "x".repeat(LONG_BODY) } else { "the body".to_owned() };
-    class.ask(&mut client, headers, &body);
-    let mut first = backends.accept(&cell);
+    let waits_for_deadline = matches!(expected, ExpectedOutcome::Status(504) | ExpectedOutcome::Truncated);
+    let headers = if waits_for_deadline { SHORT_DEADLINE } else { "" };
+    let body = if part == RequestPart::PartOfBody { "x".repeat(LONG_BODY) } else { "the body".to_owned() };
+    class.send_request(&mut client, headers, &body);
+    let mut first = backends.accept(&case);
     read_part(&mut first, part);
-    let _first = act.perform(class, first);
-    match fate {
-        Fate::SentAgain => {
-            let mut second = backends.accept(&cell);
-            read_part(&mut second, ReadSoFar::All);
-            second.write_all(class.sound_answer().as_bytes()).expect("the gateway reads");
-            assert_answer(class, &mut client, &cell);
+    let _first = action.perform(class, first);
+    match expected {
+        ExpectedOutcome::Retried => {
+            let mut second = backends.accept(&case);
+            read_part(&mut second, RequestPart::All);
+            second.write_all(class.valid_response().as_bytes()).expect("the gateway reads");
+            assert_response(class, &mut client, &case);
         }
-        Fate::GoesOn => {
-            assert_event(&mut client, &cell);
-            let mut second = backends.accept(&cell);
-            read_part(&mut second, ReadSoFar::All);
-            let answer = class.sound_answer().replace(EVENT, NEXT_EVENT);
-            second.write_all(answer.as_bytes()).expect("the gateway reads");
-            assert_eq!(client.chunk().as_deref(), Some(NEXT_EVENT), "{cell}");
-            assert_eq!(client.chunk().as_deref(), Some(""), "{cell}");
+        ExpectedOutcome::Resumed => {
+            assert_event(&mut client, &case);
+            let mut second = backends.accept(&case);
+            read_part(&mut second, RequestPart::All);
+            let response = class.valid_response().replace(EVENT, NEXT_EVENT);
+            second.write_all(response.as_bytes()).expect("the gateway reads");
+            assert_eq!(client.chunk().as_deref(), Some(NEXT_EVENT), "{case}");
+            assert_eq!(client.chunk().as_deref(), Some(""), "{case}");
         }
-        Fate::BreaksOff => {
-            assert_event(&mut client, &cell);
-            assert_eq!(client.chunk(), None, "{cell}");
+        ExpectedOutcome::Truncated => {
+            assert_event(&mut client, &case);
+            assert_eq!(client.chunk(), None, "{case}");
         }
-        Fate::Ends(200) => assert_answer(class, &mut client, &cell),
-        Fate::Ends(status) => assert_eq!(client.answer().status(), status, "{cell}"),
+        ExpectedOutcome::Status(200) => assert_response(class, &mut client, &case),
+        ExpectedOutcome::Status(status) => assert_eq!(client.read_response().status(), status, "{case}"),
     }
-    assert!(backends.is_quiet(), "{cell}");
+    assert!(backends.has_no_connection(), "{case}");
 }
 
-/// Each class, all at once: some wait for a deadline or for a silence to last too long.
-fn check_all(parts: &[ReadSoFar], acts: &[Act]) {
+/// Runs all classes concurrently, since some cases wait for a deadline or a silence limit.
+fn check_all(parts: &[RequestPart], actions: &[BackendAction]) {
     std::thread::scope(|scope| {
         for class in CLASSES {
             scope.spawn(move || {
-                for part in parts.iter().filter(|part| **part != ReadSoFar::PartOfBody || class.has_body()) {
-                    for act in acts {
-                        check(class, *part, *act);
+                for part in parts.iter().filter(|part| **part != RequestPart::PartOfBody || class.has_body())
+                {
+                    for action in actions {
+                        check(class, *part, *action);
                     }
                 }
             });
@@ -327,72 +350,79 @@
     });
 }
 
-const PARTS: [ReadSoFar; 3] = [ReadSoFar::PartOfHead, ReadSoFar::PartOfBody, ReadSoFar::All];
+const PARTS: [RequestPart; 3] = [RequestPart::PartOfHead, RequestPart::PartOfBody, RequestPart::All];
 
 #[test]
-fn a_connection_that_ends_without_an_answer() {
-    check_all(&PARTS, &[Act::Close, Act::Reset]);
+fn connection_closed_without_response() {
+    check_all(&PARTS, &[BackendAction::Close, BackendAction::Reset]);
 }
 
 #[test]
-fn a_backend_that_says_nothing() {
-    check_all(&PARTS, &[Act::Silence]);
+fn silent_backend() {
+    check_all(&PARTS, &[BackendAction::Silence]);
 }
 
 #[test]
-fn what_is_no_answer() {
-    check_all(&PARTS, &[Act::Garbage]);
+fn malformed_response() {
+    check_all(&PARTS, &[BackendAction::Garbage]);
 }
 
 #[test]
-fn a_word_that_nothing_ran() {
-    check_all(&PARTS, &[Act::Rejects, Act::Misdirected]);
+fn confirmed_non_execution() {
+    check_all(&PARTS, &[BackendAction::Rejects, BackendAction::Misdirected]);
 }
 
 #[test]
-fn an_answer_that_promises_nothing() {
-    check_all(&[ReadSoFar::All], &[Act::RefusesWithoutPromise, Act::Fails]);
+fn unconfirmed_refusal_and_server_error() {
+    check_all(&[RequestPart::All], &[BackendAction::RefusesUnconfirmed, BackendAction::ServerError]);
 }
 
 #[test]
-fn an_answer_to_another_request_or_of_nobody() {
-    check_all(&[ReadSoFar::All], &[Act::AnswersAnother, Act::AnswersUnsealed]);
+fn foreign_or_unsealed_response() {
+    check_all(&[RequestPart::All], &[BackendAction::ForeignResponse, BackendAction::UnsealedResponse]);
 }
 
 #[test]
-fn an_answer_that_breaks_off() {
-    check_all(&[ReadSoFar::All], &[Act::PartOfAnswerThenClose, Act::PartOfAnswerThenReset]);
+fn truncated_response() {
+    check_all(
+        &[RequestPart::All],
+        &[BackendAction::PartialResponseThenClose, BackendAction::PartialResponseThenReset],
+    );
 }
 
-/// The end in order of its connection is the end of such an answer; a reset is none.
+/// An orderly close ends such a response; a reset truncates it.
 #[test]
-fn an_answer_without_a_length() {
-    let acts = [Act::UnframedThenClose, Act::UnframedThenReset, Act::UnframedThenSilence];
-    check_all(&[ReadSoFar::All], &acts);
+fn unframed_response_body() {
+    let actions = [
+        BackendAction::UnframedThenClose,
+        BackendAction::UnframedThenReset,
+        BackendAction::UnframedThenSilence,
+    ];
+    check_all(&[RequestPart::All], &actions);
 }
 
 /// Nothing of the request was written.
 #[test]
-fn no_connection_at_all() {
+fn connection_refused() {
     for class in CLASSES {
         let backends = Backends::start();
         let address = backends.listener.local_addr().expect("bound");
         let gateway = Gateway::start(configuration(1, &class.route(), ""), &[refusing_address(), address]);
         for _ in 0..4 {
             let mut client = gateway.connect();
-            class.ask(&mut client, "", "x");
+            class.send_request(&mut client, "", "x");
             let mut stream = backends.accept(&format!("{class:?}"));
-            read_part(&mut stream, ReadSoFar::All);
-            let answer = class.sound_answer().replacen("\r\n", "\r\nConnection: close\r\n", 1);
-            stream.write_all(answer.as_bytes()).expect("the gateway reads");
-            assert_answer(class, &mut client, &format!("{class:?}"));
+            read_part(&mut stream, RequestPart::All);
+            let response = class.valid_response().replacen("\r\n", "\r\nConnection: close\r\n", 1);
+            stream.write_all(response.as_bytes()).expect("the gateway reads");
+            assert_response(class, &mut client, &format!("{class:?}"));
         }
     }
 }
 
-/// A kept connection that its backend has ended meanwhile, in order or not: nothing was written on it.
+/// The backend has closed or reset an idle connection: nothing was written on it.
 #[test]
-fn a_kept_connection_that_has_ended() {
+fn dead_idle_connection() {
     for class in CLASSES {
         for resets in [false, true] {
             let backends = Backends::start();
@@ -400,11 +430,11 @@
             let gateway = Gateway::start(configuration(1, &class.route(), ""), &[address]);
             let mut client = gateway.connect();
             for _ in 0..2 {
-                class.ask(&mut client, "", "x");
+                class.send_request(&mut client, "", "x");
                 let mut stream = backends.accept(&format!("{class:?}, reset {resets}"));
-                read_part(&mut stream, ReadSoFar::All);
-                stream.write_all(class.sound_answer().as_bytes()).expect("the gateway reads");
-                assert_answer(class, &mut client, &format!("{class:?}, reset {resets}"));
+                read_part(&mut stream, RequestPart::All);
+                stream.write_all(class.valid_response().as_bytes()).expect("the gateway reads");
+                assert_response(class, &mut client, &format!("{class:?}, reset {resets}"));
                 if resets {
                     reset(stream);
                 }
@@ -413,79 +443,79 @@
     }
 }
 
-/// A backend may answer before it has read a long body, and read on later: it gets the rest of that body there.
+/// A backend may respond before it has read a long body, and continue reading it from the same connection.
 #[test]
-fn an_early_answer_keeps_its_connection_from_others_until_the_body_is_in() {
-    for class in [Class::MutatingPost, Class::IdempotentPost] {
-        let cell = format!("{class:?}, answered early");
+fn connection_is_not_reused_before_request_body_is_written() {
+    for class in [RequestClass::MutatingPost, RequestClass::IdempotentPost] {
+        let case = format!("{class:?}, early response");
         let backends = Backends::start();
         let address = backends.listener.local_addr().expect("bound");
         let gateway = Gateway::start(configuration(1, &class.route(), LONG_BODIES), &[address]);
         let mut client = gateway.connect();
-        class.ask(&mut client, "", &"x".repeat(LONG_BODY));
-        let mut first = backends.accept(&cell);
-        read_part(&mut first, ReadSoFar::PartOfBody);
-        first.write_all(class.sound_answer().as_bytes()).expect("the gateway reads");
-        assert_answer(class, &mut client, &cell);
-        class.ask(&mut client, "", "another");
-        let mut second = backends.accept(&cell);
-        read_part(&mut second, ReadSoFar::All);
-        second.write_all(class.sound_answer().as_bytes()).expect("the gateway reads");
-        assert_answer(class, &mut client, &cell);
+        class.send_request(&mut client, "", &"x".repeat(LONG_BODY));
+        let mut first = backends.accept(&case);
+        read_part(&mut first, RequestPart::PartOfBody);
+        first.write_all(class.valid_response().as_bytes()).expect("the gateway reads");
+        assert_response(class, &mut client, &case);
+        class.send_request(&mut client, "", "another");
+        let mut second = backends.accept(&case);
+        read_part(&mut second, RequestPart::All);
+        second.write_all(class.valid_response().as_bytes()).expect("the gateway reads");
+        assert_response(class, &mut client, &case);
         let mut rest = vec![0; LONG_BODY];
         first.read_exact(&mut rest).expect("the rest of the body");
-        assert!(rest.iter().all(|byte| *byte == b'x'), "{cell}");
+        assert!(rest.iter().all(|byte| *byte == b'x'), "{case}");
     }
 }
 
-/// A second answer, and one that comes late in the place of the next one's, are known by their id.
+/// A second response, or a late one in place of the next response, is detected by its ID.
 #[test]
-fn a_surplus_answer_is_nobodys() {
+fn surplus_response_is_discarded() {
     for class in CLASSES {
-        let cell = format!("{class:?}, answered twice");
+        let case = format!("{class:?}, two responses");
         let backends = Backends::start();
         let gateway = backends.gateway(class);
         let mut client = gateway.connect();
-        class.ask(&mut client, "", "x");
-        let mut first = backends.accept(&cell);
-        read_part(&mut first, ReadSoFar::All);
-        let surplus = class.sound_answer().replace(ID, "another");
-        first.write_all((surplus + &class.sound_answer()).as_bytes()).expect("the gateway reads");
+        class.send_request(&mut client, "", "x");
+        let mut first = backends.accept(&case);
+        read_part(&mut first, RequestPart::All);
+        let surplus = class.valid_response().replace(ID, "another");
+        first.write_all((surplus + &class.valid_response()).as_bytes()).expect("the gateway reads");
         if class.repeatable() {
-            let mut second = backends.accept(&cell);
-            read_part(&mut second, ReadSoFar::All);
-            second.write_all(class.sound_answer().as_bytes()).expect("the gateway reads");
-            assert_answer(class, &mut client, &cell);
+            let mut second = backends.accept(&case);
+            read_part(&mut second, RequestPart::All);
+            second.write_all(class.valid_response().as_bytes()).expect("the gateway reads");
+            assert_response(class, &mut client, &case);
         } else {
-            assert_eq!(client.answer().status(), 502, "{cell}");
+            assert_eq!(client.read_response().status(), 502, "{case}");
         }
-        // What came behind goes with its connection.
-        assert_eq!(first.read(&mut [0]).unwrap_or(0), 0, "{cell}");
-        assert!(backends.is_quiet(), "{cell}");
+        // The connection is closed together with the surplus response.
+        assert_eq!(first.read(&mut [0]).unwrap_or(0), 0, "{case}");
+        assert!(backends.has_no_connection(), "{case}");
     }
 }
 
-/// A second backend is told what is left then, not what was left for the first.
+/// The second backend is told the time left at that point, not the time left at the first send.
 #[test]
-fn a_second_send_has_no_more_time_than_is_left() {
+fn second_send_carries_remaining_deadline() {
     const GIVEN: u64 = 5_000;
-    let cell = "a second send";
+    let case = "a second send";
     let backends = Backends::start();
-    let gateway = backends.gateway(Class::IdempotentGet);
+    let gateway = backends.gateway(RequestClass::IdempotentGet);
     let mut client = gateway.connect();
-    client.ask("GET", "/", &format!("X-Deadline-Ms: {GIVEN}\r\n"), "");
-    let first = backends.accept(cell);
+    client.send_request("GET", "/", &format!("X-Deadline-Ms: {GIVEN}\r\n"), "");
+    let first = backends.accept(case);
     let given_first = deadline_of(&first);
     let reached_at = Instant::now();
     let spent = Duration::from_millis(120);
     while reached_at.elapsed() < spent {
-        std::thread::sleep(BETWEEN_LOOKS);
+        std::thread::sleep(POLL_INTERVAL);
     }
     reset(first);
-    let mut second = backends.accept(cell);
+    let mut second = backends.accept(case);
     let given_second = deadline_of(&second);
-    second.write_all(Class::IdempotentGet.sound_answer().as_bytes()).expect("the gateway reads");
-    assert_answer(Class::IdempotentGet, &mut client, cell);
+    second.write_all(RequestClass::IdempotentGet.valid_response().as_bytes()).expect("the gateway reads");
+    assert_response(RequestClass::IdempotentGet, &mut client, case);
     assert!(given_first <= GIVEN, "{given_first}");
     assert!(u128::from(given_second) + spent.as_millis() <= given_first.into(), "{given_second}");
 }
@@ -499,28 +529,28 @@
         head.push(byte[0]);
     }
     let head = String::from_utf8(head).expect("text").to_ascii_lowercase();
-    let told = head.lines().find_map(|line| line.strip_prefix("x-deadline-ms: "));
-    told.expect("a deadline").parse().expect("a number")
+    let deadline = head.lines().find_map(|line| line.strip_prefix("x-deadline-ms: "));
+    deadline.expect("a deadline").parse().expect("a number")
 }
 
-/// As long as a client is there its backend works; once it has left, the connection ends at once.
+/// When the client disconnects, the backend connection is closed immediately.
 #[test]
-fn a_client_that_leaves_ends_its_backends_work() {
+fn client_disconnect_closes_backend_connection() {
     for class in CLASSES {
-        let cell = format!("{class:?}, left");
+        let case = format!("{class:?}, client disconnected");
         let backends = Backends::start();
         let gateway = backends.gateway(class);
         let mut client = gateway.connect();
-        class.ask(&mut client, "", "x");
-        let mut first = backends.accept(&cell);
-        read_part(&mut first, ReadSoFar::All);
+        class.send_request(&mut client, "", "x");
+        let mut first = backends.accept(&case);
+        read_part(&mut first, RequestPart::All);
         first.set_read_timeout(Some(Duration::from_millis(500))).expect("settable");
-        client.leave();
+        client.disconnect();
         let read = first.read(&mut [0]);
         let ended = read
             .as_ref()
             .map_or_else(|error| error.kind() != std::io::ErrorKind::WouldBlock, |read| *read == 0);
-        assert!(ended, "{cell}: {read:?}");
-        assert!(backends.is_quiet(), "{cell}");
+        assert!(ended, "{case}: {read:?}");
+        assert!(backends.has_no_connection(), "{case}");
     }
 }
--- a/crates/gateway/tests/serving/stand_ins.rs
+++ b/crates/gateway/tests/serving/support.rs
@@ -1,5 +1,5 @@
-//! The gateway under test and what stands in for its neighbours: backends and clients. What the tests wait for
-//! comes on channels, never after a set time.
+//! The gateway under test, with fake backends and clients. Tests wait on channels instead of sleeping for
+//! fixed times.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -12,19 +12,19 @@
 use crankpick_registry::{BackendRecord, BackendTable};
 pub use crankpick_test_support::refusing_address;
 
-/// Far longer than anything here takes: reached only where a test fails.
-pub const PATIENCE: Duration = Duration::from_secs(20);
-/// Longer than any test lasts.
-pub const ALWAYS: Duration = Duration::from_secs(3_600);
+/// Far longer than any step takes; reached only if a test fails.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// Longer than any test runs.
+pub const LONGER_THAN_ANY_TEST: Duration = Duration::from_secs(3_600);
 pub const HOST: &str = "a.example";
 pub const ID: &str = "9c41d07be2a35f68";
-/// The headers of a sound answer to the request `ID`.
-pub const SOUND: &str = "X-Request-Id: 9c41d07be2a35f68\r\nX-Response-Seal: 3e1b.07\r\n";
+/// The headers of a valid response to the request `ID`.
+pub const VALID_HEADERS: &str = "X-Request-Id: 9c41d07be2a35f68\r\nX-Response-Seal: 3e1b.07\r\n";
 
-/// A header by which a request is done well before the grace of these gateways is over.
-pub const DONE_SOON: &str = "X-Deadline-Ms: 5000\r\n";
+/// A header by which a request ends well before the grace period of these gateways.
+pub const DEADLINE_WITHIN_GRACE: &str = "X-Deadline-Ms: 5000\r\n";
 
-/// A message as it came: head lines, then the body.
+/// A received message: head lines and body.
 #[derive(Debug)]
 pub struct Message {
     pub head: String,
@@ -32,7 +32,7 @@
 }
 
 impl Message {
-    /// None once the other side has closed or reset the connection.
+    /// Returns `None` if the peer has closed or reset the connection.
     fn read(from: &mut BufReader<TcpStream>) -> Option<Message> {
         let mut message = Message { head: read_head(from)?, body: Vec::new() };
         let length = message.header("content-length").map_or(0, |length| length.parse().expect("a length"));
@@ -69,55 +69,63 @@
     Some(head)
 }
 
-/// A request that has reached a backend and waits there for what the test makes of it.
-pub struct Asked {
+/// A request received by a fake backend, to be answered by the test.
+pub struct BackendRequest {
     pub message: Message,
-    /// The number of its connection, from 0.
+    /// The connection's index, from 0.
     pub connection: usize,
     stream: TcpStream,
 }
 
-impl Asked {
-    pub fn answer(&mut self, status: u16, headers: &str, body: &str) {
-        self.say(&format!("HTTP/1.1 {status} Said\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()));
+impl BackendRequest {
+    pub fn respond(&mut self, status: u16, headers: &str, body: &str) {
+        self.write_raw(&format!(
+            "HTTP/1.1 {status} Said\r\n{headers}Content-Length: {}\r\n\r\n{body}",
+            body.len()
+        ));
     }
 
-    /// The head of a stream.
+    /// Sends the head of an event stream.
     pub fn begin_stream(&mut self) {
         let fields = "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n";
-        self.say(&format!("HTTP/1.1 200 OK\r\n{SOUND}{fields}\r\n"));
+        self.write_raw(&format!("HTTP/1.1 200 OK\r\n{VALID_HEADERS}{fields}\r\n"));
     }
 
-    pub fn piece(&mut self, bytes: &str) {
-        self.say(&format!("{:x}\r\n{bytes}\r\n", bytes.len()));
+    pub fn send_chunk(&mut self, bytes: &str) {
+        self.write_raw(&format!("{:x}\r\n{bytes}\r\n", bytes.len()));
     }
 
     pub fn end_stream(&mut self) {
-        self.say("0\r\n\r\n");
+        self.write_raw("0\r\n\r\n");
     }
 
-    pub fn say(&mut self, bytes: &str) {
-        // The gateway may have given it up.
+    pub fn write_raw(&mut self, bytes: &str) {
+        // The gateway may have closed the connection.
         let _ = self.stream.write_all(bytes.as_bytes());
     }
 
-    pub fn break_off(&self) {
+    pub fn disconnect(&self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
 
 pub struct Backend {
     pub address: SocketAddr,
-    pub asked: Receiver<Asked>,
-    /// The numbers of connections that the gateway has ended.
+    pub requests: Receiver<BackendRequest>,
+    /// The indices of connections that the gateway has closed.
     pub closed: Receiver<usize>,
 }
 
-fn hold(number: usize, stream: TcpStream, asked: Sender<Asked>, closed: Sender<usize>) {
+fn serve_connection(
+    number: usize,
+    stream: TcpStream,
+    requests: Sender<BackendRequest>,
+    closed: Sender<usize>,
+) {
     let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
     while let Some(message) = Message::read(&mut reader) {
         let stream = stream.try_clone().expect("a second handle");
-        if asked.send(Asked { message, connection: number, stream }).is_err() {
+        if requests.send(BackendRequest { message, connection: number, stream }).is_err() {
             return;
         }
     }
@@ -128,33 +136,34 @@
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("bound");
-        let ((asks, asked), (closes, closed)) = (channel(), channel());
+        let ((request_sender, requests), (close_sender, closed)) = (channel(), channel());
         std::thread::spawn(move || {
             for (number, stream) in listener.incoming().flatten().enumerate() {
-                let (asks, closes) = (asks.clone(), closes.clone());
-                std::thread::spawn(move || hold(number, stream, asks, closes));
+                let (request_sender, close_sender) = (request_sender.clone(), close_sender.clone());
+                std::thread::spawn(move || serve_connection(number, stream, request_sender, close_sender));
             }
         });
-        Backend { address, asked, closed }
+        Backend { address, requests, closed }
     }
 
-    pub fn next(&self) -> Asked {
-        self.asked.recv_timeout(PATIENCE).expect("a request reaches the backend")
+    pub fn next_request(&self) -> BackendRequest {
+        self.requests.recv_timeout(TEST_TIMEOUT).expect("a request reaches the backend")
     }
 
-    /// Nothing more has come, and what the gateway sent before it answered the client would have.
-    pub fn is_quiet(&self) -> bool {
-        self.asked.try_recv().is_err()
+    /// Whether no further request has arrived. Anything that the gateway sent before it answered the client
+    /// would have arrived by then.
+    pub fn has_no_request(&self) -> bool {
+        self.requests.try_recv().is_err()
     }
 }
 
-/// The next request that reaches any of them, and which.
-pub fn first_of(backends: &[&Backend]) -> (usize, Asked) {
-    let until = Instant::now() + PATIENCE;
+/// The next request that reaches any of the backends, with the backend's index.
+pub fn next_request_of(backends: &[&Backend]) -> (usize, BackendRequest) {
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
         for (number, backend) in backends.iter().enumerate() {
-            if let Ok(asked) = backend.asked.try_recv() {
-                return (number, asked);
+            if let Ok(request) = backend.requests.try_recv() {
+                return (number, request);
             }
         }
         assert!(Instant::now() < until, "a request reaches a backend");
@@ -183,12 +192,12 @@
 pub struct Gateway {
     pub address: SocketAddr,
     pub shared: Arc<Shared>,
-    /// Comes once it has ended.
+    /// Receives a message when the gateway has stopped.
     pub ended: Receiver<()>,
 }
 
 impl Gateway {
-    /// One with these routes, and these backends of the service `s`.
+    /// Starts a gateway with these routes and these backends of the service `s`.
     pub fn start(routing: Arc<RoutingTable>, backends: &[SocketAddr]) -> Gateway {
         Gateway::with(routing, backends, |_| {})
     }
@@ -198,18 +207,18 @@
         backends: &[SocketAddr],
         set: impl FnOnce(&mut GatewaySettings),
     ) -> Gateway {
-        let gateway = Gateway::knowing_nothing(set);
+        let gateway = Gateway::unconfigured(set);
         gateway.shared.publish_routing(routing);
         gateway.shared.confirm_routing(gateway.shared.now());
-        gateway.shared.publish_backends(table("s", backends));
+        gateway.shared.publish_backends(backend_table("s", backends));
         gateway
     }
 
-    /// One that nothing was published to.
-    pub fn knowing_nothing(set: impl FnOnce(&mut GatewaySettings)) -> Gateway {
+    /// Starts a gateway without any published snapshot.
+    pub fn unconfigured(set: impl FnOnce(&mut GatewaySettings)) -> Gateway {
         let mut settings = GatewaySettings::new("z", 4_100, 260 << 20);
         settings.seed = 1;
-        settings.freshness.refuse_within = ALWAYS;
+        settings.freshness.refuse_within = LONGER_THAN_ANY_TEST;
         set(&mut settings);
         let shared = Shared::new(settings, slog::Logger::root(slog::Discard, slog::o!()));
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -235,19 +244,19 @@
 
     pub fn connect(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("the gateway accepts");
-        stream.set_read_timeout(Some(PATIENCE)).expect("settable");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("settable");
         Client { reader: BufReader::new(stream) }
     }
 
-    /// A request on a connection of its own.
-    pub fn ask(&self, method: &str, path: &str, headers: &str, body: &str) -> Client {
+    /// Sends a request on a new connection.
+    pub fn send_request(&self, method: &str, path: &str, headers: &str, body: &str) -> Client {
         let mut client = self.connect();
-        client.ask(method, path, headers, body);
+        client.send_request(method, path, headers, body);
         client
     }
 
     pub fn get(&self, path: &str) -> Client {
-        self.ask("GET", path, "", "")
+        self.send_request("GET", path, "", "")
     }
 }
 
@@ -268,7 +277,7 @@
 }
 
 /// Backends `b0`, `b1` and so on of a service.
-pub fn table(service: &str, backends: &[SocketAddr]) -> Arc<BackendTable> {
+pub fn backend_table(service: &str, backends: &[SocketAddr]) -> Arc<BackendTable> {
     let records = backends
         .iter()
         .enumerate()
@@ -276,25 +285,25 @@
     Arc::new(BackendTable::from_records(records))
 }
 
-/// A client's connection.
+/// A client connection.
 pub struct Client {
     reader: BufReader<TcpStream>,
 }
 
 impl Client {
-    pub fn say(&mut self, bytes: &str) {
+    pub fn write_raw(&mut self, bytes: &str) {
         self.reader.get_mut().write_all(bytes.as_bytes()).expect("the gateway reads");
     }
 
-    pub fn ask(&mut self, method: &str, path: &str, headers: &str, body: &str) {
+    pub fn send_request(&mut self, method: &str, path: &str, headers: &str, body: &str) {
         let length =
             if body.is_empty() { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
         let head = format!("{method} {path} HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: {ID}\r\n");
-        self.say(&format!("{head}{headers}{length}\r\n{body}"));
+        self.write_raw(&format!("{head}{headers}{length}\r\n{body}"));
     }
 
-    /// The next answer of a told length.
-    pub fn answer(&mut self) -> Message {
+    /// Reads the next response with a `Content-Length`.
+    pub fn read_response(&mut self) -> Message {
         Message::read(&mut self.reader).expect("an answer")
     }
 
@@ -302,7 +311,7 @@
         Message { head: read_head(&mut self.reader).expect("a head"), body: Vec::new() }
     }
 
-    /// The next chunk of a stream; none where the connection ended before one.
+    /// Reads the next chunk of a stream; `None` if the connection ended before it.
     pub fn chunk(&mut self) -> Option<String> {
         let mut size = String::new();
         if self.reader.read_line(&mut size).ok()? == 0 {
@@ -315,32 +324,32 @@
         Some(String::from_utf8(bytes).expect("text"))
     }
 
-    /// The next byte; none where the connection ended.
+    /// Reads the next byte; `None` if the connection ended.
     pub fn byte(&mut self) -> Option<u8> {
         let mut byte = [0];
         self.reader.read_exact(&mut byte).ok().map(|()| byte[0])
     }
 
-    /// Whether the gateway ends the connection with nothing more on it.
-    pub fn ends(&mut self) -> bool {
+    /// Whether the gateway closes the connection without sending anything more.
+    pub fn is_closed(&mut self) -> bool {
         let mut rest = Vec::new();
         let read = self.reader.read_to_end(&mut rest);
         rest.is_empty()
             && read.map_or_else(|error| error.kind() == std::io::ErrorKind::ConnectionReset, |_| true)
     }
 
-    /// Whether the connection ends by a reset, whatever came before.
+    /// Whether the connection ends with a reset, regardless of earlier data.
     pub fn is_reset(&mut self) -> bool {
         let read = self.reader.read_to_end(&mut Vec::new());
         read.is_err_and(|error| error.kind() == std::io::ErrorKind::ConnectionReset)
     }
 
-    /// For a thread that writes while the answer is waited for.
-    pub fn second_handle(&self) -> TcpStream {
+    /// For a thread that writes while the response is awaited.
+    pub fn clone_stream(&self) -> TcpStream {
         self.reader.get_ref().try_clone().expect("a second handle")
     }
 
-    pub fn leave(self) {
+    pub fn disconnect(self) {
         let _ = self.reader.get_ref().shutdown(Shutdown::Both);
     }
 }
--- a/crates/gateway/tests/unit/connection.rs
+++ b/crates/gateway/tests/unit/connection.rs
@@ -1,4 +1,4 @@
-//! Decisions to end a connection that meet a request in its socket.
+//! Decisions to close a connection that race with a request in its socket.
 
 use std::future::Future;
 use std::io::{Read, Write};
@@ -11,7 +11,7 @@
 
 const UNKNOWN: &[u8] = b"GET /unknown HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: 5b1f\r\n\r\n";
 
-/// A gateway that knows no route, with this limit to the rest of connections.
+/// A gateway without routes and with this idle timeout.
 fn gateway(idle_timeout_ms: u64) -> Arc<Shared> {
     let settings = GatewaySettings::new("z", 4_100, 260 << 20);
     let shared = Shared::new(settings, slog::Logger::root(slog::Discard, slog::o!()));
@@ -22,7 +22,7 @@
     shared
 }
 
-/// A connection, and its client's side.
+/// A connection and the client's end of it.
 fn connected() -> (TcpStream, Arc<Client>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let client = TcpStream::connect(listener.local_addr().expect("bound")).expect("connected");
@@ -32,22 +32,22 @@
     (client, Arc::new(Client::new(stream)))
 }
 
-/// A whole request lies in the connection's socket, which the runtime has not seen.
-fn ask(mut client: &TcpStream, served: &Client) {
+/// Puts a complete request into the connection's socket that the runtime has not seen yet.
+fn send_request(mut client: &TcpStream, served: &Client) {
     client.write_all(UNKNOWN).expect("the kernel takes it");
     while served.is_quiescent() {
         std::thread::yield_now();
     }
 }
 
-/// All that a client got by the end of its connection.
+/// All data that a client receives until its connection is closed.
 fn received(mut client: TcpStream) -> String {
     let mut received = String::new();
     client.read_to_string(&mut received).expect("its connection ends in order");
     received.to_ascii_lowercase()
 }
 
-fn assert_told_of_the_end(shared: &Shared, received: &str) {
+fn assert_close_announced(shared: &Shared, received: &str) {
     assert!(received.starts_with("http/1.1 "), "{received}");
     assert!(received.contains("\r\nconnection: close\r\n"), "{received}");
     assert!(!received.contains("\r\nkeep-alive: "), "{received}");
@@ -56,37 +56,38 @@
 }
 
 #[tokio::test]
-async fn a_request_that_meets_the_end_for_room_is_answered_and_told_of_it() {
+async fn request_racing_eviction_is_answered_with_close() {
     let shared = gateway(15_000);
     let (client, served) = connected();
-    ask(&client, &served);
+    send_request(&client, &served);
     served.evict();
     serve(served, Arc::clone(&shared)).await;
-    assert_told_of_the_end(&shared, &received(client));
+    assert_close_announced(&shared, &received(client));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_that_meets_the_end_of_the_rest_is_answered_and_told_of_it() {
+async fn request_racing_idle_timeout_is_answered_with_close() {
     let shared = gateway(100);
     let (client, served) = connected();
     let mut serving = std::pin::pin!(serve(Arc::clone(&served), Arc::clone(&shared)));
-    // It waits for a request, and for the end of its rest.
+    // It waits for a request and for the idle timeout.
     assert!(poll_fn(|cx| Poll::Ready(serving.as_mut().poll(cx).is_pending())).await);
     tokio::time::advance(Duration::from_millis(101)).await;
-    ask(&client, &served);
+    send_request(&client, &served);
     serving.await;
     drop(served);
-    assert_told_of_the_end(&shared, &received(client));
+    assert_close_announced(&shared, &received(client));
 }
 
-/// hyper stops for others behind sixteen requests, with the rest in its buffer: told to end then, a connection says so.
+/// hyper yields after sixteen requests with the rest in its buffer. A connection that is told to close at
+/// that point must announce it.
 #[tokio::test]
-async fn pipelined_requests_that_are_not_served_any_more_are_told_of_the_end() {
+async fn unserved_pipelined_requests_get_a_close_announcement() {
     const PIPELINED: usize = 40;
     let shared = gateway(15_000);
     let (client, served) = connected();
     for _ in 0..PIPELINED {
-        ask(&client, &served);
+        send_request(&client, &served);
     }
     let mut serving = std::pin::pin!(serve(Arc::clone(&served), Arc::clone(&shared)));
     while poll_fn(|cx| Poll::Ready(serving.as_mut().poll(cx).is_pending())).await
@@ -100,5 +101,5 @@
     let received = received(client);
     let answers: Vec<&str> = received.split("http/1.1 ").skip(1).collect();
     assert!((1..PIPELINED).contains(&answers.len()), "{} answers", answers.len());
-    assert_told_of_the_end(&shared, &format!("http/1.1 {}", answers[answers.len() - 1]));
+    assert_close_announced(&shared, &format!("http/1.1 {}", answers[answers.len() - 1]));
 }
--- a/crates/gateway/tests/unit/event.rs
+++ b/crates/gateway/tests/unit/event.rs
@@ -13,9 +13,9 @@
     (events, splitter.take_remainder())
 }
 
-/// However the bytes are cut, the same events come, whole, and nothing is lost.
+/// However the bytes are split, the same complete events result and nothing is lost.
 #[test]
-fn events_are_told_apart_in_pieces_of_any_size() {
+fn events_are_split_for_any_chunk_size() {
     for size in 1..=STREAM.len() {
         let (events, rest) = events_in_pieces_of(size);
         let ids: Vec<_> = events.iter().map(|event| event.id.as_ref().and_then(EventId::number)).collect();
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn an_event_without_end_is_given_up() {
+fn unterminated_event_is_too_long() {
     let mut splitter = EventSplitter::default();
     let half = vec![b'x'; MAX_EVENT_BYTES / 2];
     assert_eq!(splitter.feed(&half), Ok(()));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn ids_rise_as_numbers() {
+fn ids_increase_numerically() {
     let id = |text: &'static str| EventId { text: Bytes::from_static(text.as_bytes()) };
     assert!(id("10").follows(&id("9")));
     assert!(!id("9").follows(&id("10")));
--- a/crates/gateway/tests/unit/freshness.rs
+++ b/crates/gateway/tests/unit/freshness.rs
@@ -12,13 +12,13 @@
 }
 
 #[test]
-fn one_that_was_never_confirmed_refuses_nothing() {
+fn unconfirmed_configuration_refuses_nothing() {
     assert!(!freshness(None).may_refuse(at(0)));
     assert!(!freshness(None).may_refuse(at(60_000)));
 }
 
 #[test]
-fn it_refuses_until_the_bound_on_new_configurations_is_over() {
+fn refuses_until_configuration_bound_elapses() {
     let mut freshness = freshness(None);
     freshness.confirm(at(1_000));
     assert!(freshness.may_refuse(at(3_000)));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn an_older_word_takes_nothing_back() {
+fn older_confirmation_is_ignored() {
     let mut freshness = freshness(None);
     freshness.confirm(at(5_000));
     freshness.confirm(at(1_000));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn keys_are_accepted_within_the_bound_on_withdrawn_ones() {
+fn keys_are_accepted_within_revocation_bound() {
     let mut bounded = freshness(Some(ACCEPT_WITHIN));
     assert!(!bounded.may_accept_keys(at(0)));
     bounded.confirm(at(1_000));
--- a/crates/gateway/tests/unit/request.rs
+++ b/crates/gateway/tests/unit/request.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_prompt_is_read_as_far_as_it_is_sound() {
+fn prompt_is_parsed_up_to_first_malformed_part() {
     let sound = headers(&[("x-token-usage", "1460,80"), ("x-prompt-prefix", "5c1e07a2:800,91bd3f06:410")]);
     let read = PromptSize::read(&sound);
     assert_eq!(read.usage.map(|usage| usage.total()), Some(1540));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_key_is_what_stands_behind_bearer() {
+fn parses_bearer_key() {
     assert_eq!(api_key(&headers(&[("authorization", "Bearer 3d3z")])), Some("3d3z"));
     assert_eq!(api_key(&headers(&[("authorization", "bearer  3d3z ")])), Some("3d3z"));
     assert_eq!(api_key(&headers(&[("authorization", "Basic 3d3z")])), None);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn ids_and_hosts_stand_there_once() {
+fn id_and_host_must_occur_exactly_once() {
     let mut twice = headers(&[("x-request-id", "a"), ("host", "a.example")]);
     assert!(request_id(&twice).is_ok() && host(&twice).is_ok());
     twice.append(REQUEST_ID, HeaderValue::from_static("b"));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn patience_is_told_in_milliseconds() {
+fn client_timeout_is_in_milliseconds() {
     assert_eq!(client_timeout(&headers(&[("x-deadline-ms", "1500")])), Some(Duration::from_millis(1500)));
     assert_eq!(client_timeout(&headers(&[("x-deadline-ms", "-1")])), None);
     assert_eq!(client_timeout(&headers(&[("x-deadline-ms", "nan")])), None);
