--- a/crates/gateway/tests/serving/retries.rs
+++ b/crates/gateway/tests/serving/retries.rs
@@ -180,8 +180,8 @@
     assert_eq!(client.read_response().status(), 504);
     // The client no longer waits: the connection is closed, which notifies the backend.
     let (closed, connection) = (&backends[0].closed, request.connection);
-    let told = closed.try_recv().or_else(|_| next_closed(&backends));
-    assert_eq!(told, Ok(connection));
+    let closed_connection = closed.try_recv().or_else(|_| next_closed(&backends));
+    assert_eq!(closed_connection, Ok(connection));
 }
 
 fn next_closed(backends: &[Backend; 2]) -> Result<usize, std::sync::mpsc::TryRecvError> {
