--- a/crates/gateway/tests/serving/main.rs
+++ b/crates/gateway/tests/serving/main.rs
@@ -1,13 +1,13 @@
-//! The gateway on sockets of this machine, one test for each rule that it keeps.
+//! Tests of the gateway over local sockets, one for each documented rule.
 
 mod admission;
 mod bounds;
 mod client_connections;
 mod connections;
-mod currency;
+mod freshness;
 mod passing;
 mod retries;
 mod send_endings;
 mod shutdown;
-mod stand_ins;
 mod streams;
+mod support;
--- a/crates/system/src/metrics.rs
+++ b/crates/system/src/metrics.rs
@@ -18,7 +18,7 @@
     for end in ends {
         let reason = label("reason", end.name);
         write_sample(&mut text, "crankpick_client_connection_ends_total", &reason, end.number as f64);
-        if let Some((least, longest)) = end.least_rest.zip(end.longest_rest) {
+        if let Some((least, longest)) = end.min_idle.zip(end.max_idle) {
             write_sample(
                 &mut text,
                 "crankpick_client_connection_rest_seconds_min",
