--- a/crates/dispatch/src/admission.rs
+++ b/crates/dispatch/src/admission.rs
@@ -20,11 +20,15 @@
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// Returns a retry delay if the request would wait too long even at the best backend for it.
-pub(crate) fn refused(cost_model: &CostModel, best: &Backend, estimate: &Estimate) -> Option<Duration> {
+pub(crate) fn rejection_delay(
+    cost_model: &CostModel,
+    best: &Backend,
+    estimate: &Estimate,
+) -> Option<Duration> {
     let requests = best.requests(cost_model.now);
-    let taken = requests >= f64::from(best.view.slots.max(1)) * MIN_OCCUPANCY;
+    let occupied = requests >= f64::from(best.view.slots.max(1)) * MIN_OCCUPANCY;
     // Rejecting a request while slots are free and nothing is queued would serve no purpose.
-    if !taken && best.pending_count() == 0 && !best.has_external_wait(cost_model.now) {
+    if !occupied && best.pending_count() == 0 && !best.has_external_wait(cost_model.now) {
         return None;
     }
     // The request's own processing time does not count, otherwise the longest requests would never be served. The wait
--- a/crates/dispatch/src/attempts.rs
+++ b/crates/dispatch/src/attempts.rs
@@ -23,14 +23,14 @@
     /// The load units that the attempt adds to its backend.
     pub units: f64,
     /// The estimated number of prompt tokens that need prefill.
-    pub unread: f64,
+    pub prefill_tokens: f64,
     /// The estimated time to the first event on an unloaded backend and at the load found there, in ms.
     pub unloaded_ms: f64,
     pub expected_ms: f64,
     /// Whether no other attempt of this gateway was waiting for its first event there.
-    pub alone: bool,
+    pub only_pending: bool,
     /// When the first event arrived.
-    pub answered: Option<Timestamp>,
+    pub first_event_at: Option<Timestamp>,
     /// Whether the latency of the first event has been recorded.
     pub latency_recorded: bool,
     /// Whether this is a trial of an ejected backend.
@@ -46,11 +46,11 @@
             service,
             began,
             units: 0.0,
-            unread: 0.0,
+            prefill_tokens: 0.0,
             unloaded_ms: 0.0,
             expected_ms: 0.0,
-            alone: false,
-            answered: None,
+            only_pending: false,
+            first_event_at: None,
             latency_recorded: false,
             trial: false,
             priority: 0,
@@ -69,17 +69,21 @@
         let kind = service.kind(request);
         let estimate =
             CostModel::new(self.began, request, service, weights, last_used).estimate(backend, 0.0);
-        let prefill_ms = service.pace.prefill_ms(estimate.unread);
-        (self.units, self.unread) = (kind.value(), estimate.unread);
+        let prefill_ms = service.latency_model.prefill_ms(estimate.prefill_tokens);
+        (self.units, self.prefill_tokens) = (kind.load_units(), estimate.prefill_tokens);
         (self.unloaded_ms, self.expected_ms) = (estimate.unloaded_ms, estimate.first_event_ms);
-        self.alone = backend.pending_count() == 0;
+        self.only_pending = backend.pending_count() == 0;
         self.trial = backend.health.begin();
         backend.begin(self.began, self.serial, prefill_ms, estimate.first_event_ms);
         self.priority = request.priority;
         backend.units += self.units;
         if let Some(engine) = service.view.engine {
             let memory = if engine.kv_tokens > 0 { engine.kv_tokens } else { DEFAULT_KV_TOKENS };
-            backend.kept.sent(self.began, request.parts, (memory as f64 * KV_CACHE_SHARE) as u64);
+            backend.prefix_cache.record_prompt(
+                self.began,
+                request.parts,
+                (memory as f64 * KV_CACHE_SHARE) as u64,
+            );
         }
         if request.tried.is_empty() {
             service.observe(self.began, request, kind, prefill_ms);
@@ -89,24 +93,24 @@
     /// Records the latency of the first event for the backend and the service, once. Called only when the response is
     /// known not to be a refusal.
     pub fn record_latency(&mut self, service: &mut Service, backend: &mut Backend, weights: &Weights) {
-        let Some(now) = self.answered.filter(|_| !self.latency_recorded) else { return };
+        let Some(now) = self.first_event_at.filter(|_| !self.latency_recorded) else { return };
         self.latency_recorded = true;
-        let took_ms = (now.saturating_sub(self.began).as_secs_f64() * 1e3).max(0.1);
-        let latency_ratio = took_ms / self.expected_ms.max(0.1);
+        let elapsed_ms = (now.saturating_sub(self.began).as_secs_f64() * 1e3).max(0.1);
+        let latency_ratio = elapsed_ms / self.expected_ms.max(0.1);
         if !service.is_engine() {
-            service.pace.observe_response(took_ms);
+            service.latency_model.observe_response(elapsed_ms);
         }
         // The latency of an attempt queued behind others of this gateway includes theirs.
-        if !self.alone {
+        if !self.only_pending {
             return;
         }
         if service.is_engine() {
-            service.pace.observe_first_event(self.unread, took_ms);
+            service.latency_model.observe_first_event(self.prefill_tokens, elapsed_ms);
         }
         let baseline_ms = service.baseline_wait_ms(now);
         let relative_ratio = (latency_ratio / service.baseline_latency_ratio(now))
             .clamp(LATENCY_RATIO_BOUNDS.0, LATENCY_RATIO_BOUNDS.1);
-        let excess_ms = took_ms - self.unloaded_ms;
+        let excess_ms = elapsed_ms - self.unloaded_ms;
         backend.record_latency(now, excess_ms, baseline_ms, relative_ratio, weights.excess_latency_smoothing);
         service.record_latency(now, self.priority, excess_ms, latency_ratio);
     }
--- a/crates/dispatch/src/backend.rs
+++ b/crates/dispatch/src/backend.rs
@@ -3,7 +3,7 @@
 use crate::hash::hash_id;
 use crate::health::Health;
 use crate::interface::{BackendView, ReportedLoad, Timestamp};
-use crate::pace::DecayingMean;
+use crate::latency::DecayingMean;
 use crate::prefix::PrefixCache;
 use crate::weights::Weights;
 use std::time::Duration;
@@ -48,20 +48,20 @@
     pub units: f64,
     pub health: Health,
     /// The prompt parts that the backend is estimated to have cached.
-    pub kept: PrefixCache,
+    pub prefix_cache: PrefixCache,
     pending: Vec<Pending>,
     /// When the prefill of all prompts that this gateway sent is expected to be complete.
     prefill_done_at: Timestamp,
     /// The start of the current silence: the last sign of life, or the first attempt sent to the idle backend.
-    heard: Timestamp,
+    silent_since: Timestamp,
     /// When a response or an event last arrived.
-    answered: Option<Timestamp>,
+    last_response: Option<Timestamp>,
     refusing_until: Timestamp,
     /// The estimated wait caused by requests of other gateways, in ms.
     external_wait_ms: DecayingMean,
     external_running: DecayingMean,
     /// The logarithm of the slowness relative to the peers.
-    pace: DecayingMean,
+    log_slowness: DecayingMean,
 }
 
 fn ms(time: Duration) -> f64 {
@@ -78,15 +78,15 @@
             in_flight: 0,
             units: 0.0,
             health: Health::default(),
-            kept: PrefixCache::default(),
+            prefix_cache: PrefixCache::default(),
             pending: Vec::new(),
             prefill_done_at: Timestamp::ZERO,
-            heard: Timestamp::ZERO,
-            answered: None,
+            silent_since: Timestamp::ZERO,
+            last_response: None,
             refusing_until: Timestamp::ZERO,
             external_wait_ms: DecayingMean::new(0.0, weights.external_wait_decay_ms),
             external_running: DecayingMean::new(0.0, EXTERNAL_RUNNING_DECAY_MS),
-            pace: DecayingMean::new(0.0, SLOWNESS_DECAY_MS),
+            log_slowness: DecayingMean::new(0.0, SLOWNESS_DECAY_MS),
         }
     }
 
@@ -115,23 +115,23 @@
         resumed: Timestamp,
     ) -> Option<Duration> {
         let expected = Duration::from_secs_f64(expected_ms / 1e3);
-        (self.heard <= began).then(|| now.saturating_sub(began.max(resumed)).saturating_sub(expected))
+        (self.silent_since <= began).then(|| now.saturating_sub(began.max(resumed)).saturating_sub(expected))
     }
 
     /// Whether a response or an event arrived within `RECENT_RESPONSE`.
     pub fn responded_recently(&self, now: Timestamp) -> bool {
-        self.answered.is_some_and(|answered| now.saturating_sub(answered) <= RECENT_RESPONSE)
+        self.last_response.is_some_and(|at| now.saturating_sub(at) <= RECENT_RESPONSE)
     }
 
     /// Restarts the measurement of silence after a stall of this process, during which nothing could be received.
     pub fn resume(&mut self, now: Timestamp) {
-        self.heard = self.heard.max(now);
+        self.silent_since = self.silent_since.max(now);
     }
 
     /// The factor by which the backend is slower than its peers.
     pub fn slowness(&self, now: Timestamp) -> f64 {
         let cold = if now < self.view.warm_at { COLD_SLOWNESS } else { 1.0 };
-        cold * self.pace.value(now, 0.0).exp().clamp(SLOWNESS_BOUNDS.0, SLOWNESS_BOUNDS.1)
+        cold * self.log_slowness.value(now, 0.0).exp().clamp(SLOWNESS_BOUNDS.0, SLOWNESS_BOUNDS.1)
     }
 
     /// The number of requests from other gateways, as last reported.
@@ -158,7 +158,7 @@
     /// the mean wait for requests of other gateways over all backends of the service.
     pub fn wait_ms(&self, now: Timestamp, baseline: f64, weights: &Weights) -> f64 {
         let external_ms = self.external_wait_ms.value(now, baseline);
-        (self.own_prefill_wait_ms(now) + external_ms).max(self.silence_ms(now) * weights.silence)
+        (self.own_prefill_wait_ms(now) + external_ms).max(self.silence_ms(now) * weights.silence_wait_factor)
     }
 
     /// The time until the prefill of this gateway's own attempts is complete, in ms.
@@ -178,18 +178,20 @@
     /// How long the backend has been silent past the time when a first event or a further stream event was due, in ms.
     pub fn silence_ms(&self, now: Timestamp) -> f64 {
         let oldest = self.pending.iter().min_by_key(|pending| pending.began);
-        let waits =
-            oldest.map_or(0.0, |of| ms(now.saturating_sub(of.began.max(self.heard))) - of.expected_ms);
+        let first_event_overdue_ms = oldest.map_or(0.0, |pending| {
+            ms(now.saturating_sub(pending.began.max(self.silent_since))) - pending.expected_ms
+        });
         let streaming = self.in_flight as usize > self.pending.len();
-        let gap = if streaming { ms(now.saturating_sub(self.heard)) - TYPICAL_EVENT_GAP_MS } else { 0.0 };
-        waits.max(gap).max(0.0)
+        let stream_overdue_ms =
+            if streaming { ms(now.saturating_sub(self.silent_since)) - TYPICAL_EVENT_GAP_MS } else { 0.0 };
+        first_event_overdue_ms.max(stream_overdue_ms).max(0.0)
     }
 
     /// Records the start of an attempt with the estimated prefill time and the expected time of its first event.
     pub fn begin(&mut self, now: Timestamp, serial: u32, prefill_ms: f64, expected_ms: f64) {
         if self.pending.is_empty() && self.in_flight == 0 {
             // An idle backend has nothing to send, so its silence so far is meaningless.
-            self.heard = now;
+            self.silent_since = now;
         }
         let from = if self.pending.is_empty() { now } else { self.prefill_done_at.max(now) };
         self.prefill_done_at = from + Duration::from_secs_f64(prefill_ms / 1e3);
@@ -199,8 +201,8 @@
 
     /// Records a sign of life.
     pub fn record_activity(&mut self, now: Timestamp) {
-        self.heard = now;
-        self.answered = Some(now);
+        self.silent_since = now;
+        self.last_response = Some(now);
     }
 
     /// Removes an attempt from those waiting for their first event.
@@ -228,11 +230,11 @@
         share: f64,
     ) {
         self.external_wait_ms.observe(now, baseline, excess_ms.max(0.0), share);
-        self.pace.observe(now, 0.0, latency_ratio.ln(), SLOWNESS_SMOOTHING);
+        self.log_slowness.observe(now, 0.0, latency_ratio.ln(), SLOWNESS_SMOOTHING);
     }
 
     /// Records that the backend refused a request.
-    pub fn refused(&mut self, now: Timestamp) {
+    pub fn record_refusal(&mut self, now: Timestamp) {
         self.refusing_until = now + REFUSAL_BACKOFF;
     }
 }
--- a/crates/dispatch/src/choose.rs
+++ b/crates/dispatch/src/choose.rs
@@ -1,7 +1,7 @@
 //! Backend selection: rotation within the type's group while it is lightly loaded, otherwise best fit over all
 //! candidates. Requests with prefix affinity always use best fit.
 
-use crate::admission::refused;
+use crate::admission::rejection_delay;
 use crate::backend::Backend;
 use crate::dispatcher::Dispatcher;
 use crate::fit::{shared_prefix, CostModel, Estimate};
@@ -19,7 +19,7 @@
 struct Candidate {
     key: BackendKey,
     /// The probability that it has cached shared parts that this gateway did not send there.
-    kept: f64,
+    cached_probability: f64,
     /// The additional cost as a share of the request's value.
     penalty: f64,
 }
@@ -51,9 +51,9 @@
         let candidates = self.candidates(index, kind, part.unwrap_or(random_key), sharing_likelihood);
         let rotate = part.is_none() && self.lightly_loaded(now, index, &candidates);
         let next_in_rotation = if rotate { self.next_in_rotation(now, index, kind, request) } else { None };
-        let found = next_in_rotation.or_else(|| self.best_fit(now, index, request, &candidates, part));
-        let Some(found) = found else { return self.no_candidate(request, &candidates) };
-        self.admit(now, index, request, found, part)
+        let selection = next_in_rotation.or_else(|| self.best_fit(now, index, request, &candidates, part));
+        let Some(selection) = selection else { return self.no_candidate(request, &candidates) };
+        self.admit(now, index, request, selection, part)
     }
 
     /// Collects the candidates, those of the type's group before all others. A key's home backends, one in this
@@ -61,27 +61,31 @@
     /// with a common prefix share one cached copy.
     fn candidates(&self, index: usize, kind: Kind, key: u64, sharing_likelihood: f64) -> Vec<Candidate> {
         let groups = &self.services[index].groups;
-        let (group, homes, whole) = (groups.group(kind), groups.home_group(kind), &groups.whole);
+        let (group, homes, all_backends) =
+            (groups.group(kind), groups.home_group(kind), &groups.all_backends);
         let weights = &self.settings.weights;
         let lists = [
             (&group.same_zone, 0.0, None),
             (&group.all, 0.0, None),
             (&homes.same_zone, 0.0, Some(weights.same_zone_home_cached_probability)),
             (&homes.all, 0.0, Some(weights.home_cached_probability)),
-            (&whole.same_zone, weights.outside_group_cost, None),
-            (&whole.all, weights.outside_group_cost, None),
+            (&all_backends.same_zone, weights.outside_group_cost, None),
+            (&all_backends.all, weights.outside_group_cost, None),
         ];
         let mut keys = Vec::with_capacity(MAX_CANDIDATES);
         let mut candidates: Vec<Candidate> = Vec::with_capacity(lists.len() * MAX_CANDIDATES);
-        for (ring, penalty, kept) in lists {
+        for (ring, penalty, cached_probability) in lists {
             keys.clear();
             ring.candidates(key, MAX_CANDIDATES, &mut keys);
             for (rank, key) in keys.iter().enumerate() {
-                let kept = if rank == 0 { kept.unwrap_or(0.0) * sharing_likelihood } else { 0.0 };
+                let cached_probability =
+                    if rank == 0 { cached_probability.unwrap_or(0.0) * sharing_likelihood } else { 0.0 };
                 // The lists are ordered by penalty, so an existing entry already has the lowest one.
-                match candidates.iter_mut().find(|of| of.key == *key) {
-                    Some(known) => known.kept = known.kept.max(kept),
-                    None => candidates.push(Candidate { key: *key, kept, penalty }),
+                match candidates.iter_mut().find(|candidate| candidate.key == *key) {
+                    Some(known) => {
+                        known.cached_probability = known.cached_probability.max(cached_probability)
+                    }
+                    None => candidates.push(Candidate { key: *key, cached_probability, penalty }),
                 }
             }
         }
@@ -91,7 +95,10 @@
     /// Whether the group's load is at most `Weights::light_load_threshold` (0.1 by default) of its capacity.
     fn lightly_loaded(&self, now: Timestamp, index: usize, candidates: &[Candidate]) -> bool {
         let value = self.services[index].mean_load_units;
-        let group = candidates.iter().filter(|of| of.penalty <= 0.0).filter_map(|of| self.backend(of.key));
+        let group = candidates
+            .iter()
+            .filter(|candidate| candidate.penalty <= 0.0)
+            .filter_map(|candidate| self.backend(candidate.key));
         let (load, max) = group.fold((0.0, 0.0), |(load, max), backend| {
             (load + backend.load_units(now, value), max + backend.max_load_units(now, value))
         });
@@ -99,9 +106,9 @@
     }
 
     /// The backend if it is below the connection limit and was not tried before.
-    fn usable(&self, key: BackendKey, request: &DispatchRequest, bound: u32) -> Option<&Backend> {
+    fn usable(&self, key: BackendKey, request: &DispatchRequest, max_in_flight: u32) -> Option<&Backend> {
         let backend = self.backend(key)?;
-        (backend.in_flight < bound && !request.tried.contains(&key)).then_some(backend)
+        (backend.in_flight < max_in_flight && !request.tried.contains(&key)).then_some(backend)
     }
 
     /// The next usable backend of a lightly loaded group, preferring this gateway's zone.
@@ -112,21 +119,22 @@
         kind: Kind,
         request: &DispatchRequest,
     ) -> Option<Selection> {
-        let bound = self.services[index].max_connections_per_backend(self.gateways);
+        let max_in_flight = self.services[index].max_connections_per_backend(self.gateways);
         let idempotent = request.route.idempotent;
         // Few load units can still mean long prompts, so backends with a long estimated wait are skipped.
         let max_wait_ms = request.route.slo.as_secs_f64() * 1e3 * self.settings.weights.light_load_threshold;
         let cost_model = CostModel::new(now, request, &self.services[index], &self.settings.weights, None);
         let usable = |key: BackendKey| {
-            let backend = self.usable(key, request, bound).filter(|backend| backend.open(now, idempotent));
+            let backend =
+                self.usable(key, request, max_in_flight).filter(|backend| backend.open(now, idempotent));
             backend.is_some_and(|backend| cost_model.estimate(backend, 0.0).wait_ms() <= max_wait_ms)
         };
         let group = self.services[index].groups.group(kind);
-        let mut turns = group.turns;
-        let same_zone = turns.same_zone.next(group.same_zone.entries(), usable);
-        let key = same_zone.or_else(|| turns.all.next(group.all.entries(), usable))?;
+        let mut rotations = group.rotations;
+        let same_zone = rotations.same_zone.next(group.same_zone.entries(), usable);
+        let key = same_zone.or_else(|| rotations.all.next(group.all.entries(), usable))?;
         let estimate = cost_model.estimate(self.backend(key)?, 0.0);
-        self.services[index].groups.group_mut(kind).turns = turns;
+        self.services[index].groups.group_mut(kind).rotations = rotations;
         Some(Selection { key, estimate })
     }
 
@@ -140,7 +148,7 @@
         candidates: &[Candidate],
         part: Option<u64>,
     ) -> Option<Selection> {
-        let bound = self.services[index].max_connections_per_backend(self.gateways);
+        let max_in_flight = self.services[index].max_connections_per_backend(self.gateways);
         let last_used = part.and_then(|part| self.last_prefix_use(part));
         let mut rng = self.rng.fork();
         let cost_model =
@@ -149,11 +157,11 @@
             let mut best: Option<Selection> = None;
             let mut ties = 1;
             for candidate in candidates {
-                let Some(backend) = self.usable(candidate.key, request, bound) else { continue };
+                let Some(backend) = self.usable(candidate.key, request, max_in_flight) else { continue };
                 if open && !backend.open(now, request.route.idempotent) {
                     continue;
                 }
-                let mut estimate = cost_model.estimate(backend, candidate.kept);
+                let mut estimate = cost_model.estimate(backend, candidate.cached_probability);
                 estimate.cost += candidate.penalty;
                 let min_cost = best.map_or(f64::INFINITY, |best| best.estimate.cost);
                 let tied = estimate.cost == min_cost && best.is_some_and(|best| best.key != candidate.key);
@@ -175,7 +183,7 @@
 
     /// The result if no candidate can be used: `Full` if only connection limits rule them out.
     fn no_candidate(&self, request: &DispatchRequest, candidates: &[Candidate]) -> Choice {
-        if candidates.iter().any(|of| self.usable(of.key, request, u32::MAX).is_some()) {
+        if candidates.iter().any(|candidate| self.usable(candidate.key, request, u32::MAX).is_some()) {
             Choice::Full { retry_after: CONNECTION_LIMIT_RETRY }
         } else {
             Choice::NoBackend
@@ -188,18 +196,18 @@
         now: Timestamp,
         index: usize,
         request: &DispatchRequest,
-        found: Selection,
+        selection: Selection,
         part: Option<u64>,
     ) -> Choice {
-        let Some(backend) = self.backend(found.key) else { return Choice::NoBackend };
+        let Some(backend) = self.backend(selection.key) else { return Choice::NoBackend };
         let service = &self.services[index];
         let last_used = part.and_then(|part| self.last_prefix_use(part));
         let cost_model = CostModel::new(now, request, service, &self.settings.weights, last_used);
-        if let Some(retry_after) = refused(&cost_model, backend, &found.estimate) {
+        if let Some(retry_after) = rejection_delay(&cost_model, backend, &selection.estimate) {
             return Choice::Full { retry_after };
         }
         Choice::Send(Target {
-            backend: found.key,
+            backend: selection.key,
             id: backend.view.id.clone(),
             address: backend.view.address,
             priority_header: service.is_engine().then_some(request.priority.min(9)),
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -73,13 +73,13 @@
             backend.gone_since = backend.gone_since.or(Some(now));
         }
         view.backends.iter().for_each(|backend| self.upsert_backend(backend));
-        self.forget(now);
+        self.remove_expired_backends(now);
         for service in 0..self.services.len() {
             let members = self.members(service);
             let fingerprint =
                 members.iter().fold(0, |fingerprint: u64, member| fingerprint.wrapping_add(member.hash));
-            if self.services[service].members != Some(fingerprint) {
-                self.services[service].members = Some(fingerprint);
+            if self.services[service].member_fingerprint != Some(fingerprint) {
+                self.services[service].member_fingerprint = Some(fingerprint);
                 self.rebuild_groups(now, service, members);
             }
         }
@@ -115,7 +115,7 @@
     }
 
     /// Drops backends whose retention has expired and that have no attempts in flight; their keys may be reused.
-    fn forget(&mut self, now: Timestamp) {
+    fn remove_expired_backends(&mut self, now: Timestamp) {
         for (index, slot) in self.backends.iter_mut().enumerate() {
             let expired = |since: Timestamp| now.saturating_sub(since) >= BACKEND_RETENTION;
             let dropped =
@@ -208,10 +208,11 @@
     /// Records the response headers or, for a stream, the first event.
     pub fn first_event(&mut self, now: Timestamp, ticket: Ticket, load: Option<ReportedLoad>) {
         self.detect_stall(now);
-        let Some(attempt) = self.attempts.get_mut(ticket).filter(|attempt| attempt.answered.is_none()) else {
+        let Some(attempt) = self.attempts.get_mut(ticket).filter(|attempt| attempt.first_event_at.is_none())
+        else {
             return;
         };
-        attempt.answered = Some(now);
+        attempt.first_event_at = Some(now);
         let Some(backend) = self.backends.get_mut(attempt.backend.0 as usize).and_then(Option::as_mut) else {
             return;
         };
@@ -252,9 +253,9 @@
                 backend.record_activity(now);
                 attempt.record_latency(service, backend, &self.settings.weights);
             }
-            Outcome::Refused => backend.refused(now),
+            Outcome::Refused => backend.record_refusal(now),
             // The instance may be gone and its prefix cache with it.
-            Outcome::NoConnection | Outcome::Misdirected => backend.kept.clear(),
+            Outcome::NoConnection | Outcome::Misdirected => backend.prefix_cache.clear(),
             _ => {}
         }
         if backend.health.record_outcome(verdict, attempt.trial, peers) {
@@ -275,25 +276,26 @@
     fn peer_failure_rate(&self, attempt: &Attempt) -> f64 {
         let Some(service) = self.services.get(attempt.service as usize) else { return 0.0 };
         let others =
-            service.groups.whole.all.entries().iter().filter(|entry| entry.backend != attempt.backend);
+            service.groups.all_backends.all.entries().iter().filter(|entry| entry.backend != attempt.backend);
         let rates = others.take(MAX_SAMPLED_PEERS).filter_map(|entry| self.backend(entry.backend));
-        let (sum, count) =
-            rates.fold((0.0, 0.0), |(sum, count), of| (sum + of.health.failure_rate(), count + 1.0));
+        let (sum, count) = rates
+            .fold((0.0, 0.0), |(sum, count), backend| (sum + backend.health.failure_rate(), count + 1.0));
         sum / f64::max(count, 1.0)
     }
 
     /// Ejects a backend, unless half of its service is ejected already.
     fn eject(&mut self, now: Timestamp, attempt: &Attempt) {
         let Some(service) = self.services.get(attempt.service as usize) else { return };
-        let entries = service.groups.whole.all.entries();
-        let ejected = |entry: &&RingEntry| self.backend(entry.backend).is_some_and(|of| of.health.ejected());
+        let entries = service.groups.all_backends.all.entries();
+        let ejected =
+            |entry: &&RingEntry| self.backend(entry.backend).is_some_and(|backend| backend.health.ejected());
         let ejected = entries.iter().filter(ejected).count();
-        let bound = entries.len() / 2;
+        let max_ejected = entries.len() / 2;
         let jitter = self.rng.f64();
         let Some(backend) = self.backends.get_mut(attempt.backend.0 as usize).and_then(Option::as_mut) else {
             return;
         };
-        if backend.health.ejected() || ejected < bound {
+        if backend.health.ejected() || ejected < max_ejected {
             backend.health.eject(now, jitter);
         }
     }
--- a/crates/dispatch/src/fit.rs
+++ b/crates/dispatch/src/fit.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Estimate {
     /// The number of prompt tokens that need prefill.
-    pub unread: f64,
+    pub prefill_tokens: f64,
     /// The time to the first event on an unloaded backend and at the current load, in ms.
     pub unloaded_ms: f64,
     pub first_event_ms: f64,
@@ -98,13 +98,13 @@
         if !self.service.is_engine() {
             return self.estimate_without_prefill(backend, slowness);
         }
-        let kept = f64::from(backend.kept.cached_tokens(self.now, self.request.parts));
-        let missing = (self.shared_tokens - kept).max(0.0);
+        let cached_tokens = f64::from(backend.prefix_cache.cached_tokens(self.now, self.request.parts));
+        let missing = (self.shared_tokens - cached_tokens).max(0.0);
         let likely_cached = missing * cache_probability;
         let prompt = f64::from(self.request.prompt_tokens).max(self.shared_tokens);
-        let unread = (prompt - kept - likely_cached).max(0.0);
+        let prefill_tokens = (prompt - cached_tokens - likely_cached).max(0.0);
         let baseline_ms = self.service.baseline_wait_ms(self.now);
-        let unloaded_ms = self.service.pace.first_event_ms(unread) * slowness;
+        let unloaded_ms = self.service.latency_model.first_event_ms(prefill_tokens) * slowness;
         let first_event_ms = unloaded_ms + backend.wait_ms(self.now, baseline_ms, self.weights);
         let reprefill_cost = (missing - likely_cached) / 1e3
             * self.weights.reprefill_cost_per_k_tokens
@@ -112,14 +112,14 @@
         let cost = self.latency_cost(first_event_ms)
             + self.cross_zone_cost(backend)
             + reprefill_cost
-            + self.taken(backend)
-            + self.stall_cost(backend, unread);
-        Estimate { unread, unloaded_ms, first_event_ms, cost }
+            + self.occupancy_cost(backend)
+            + self.stall_cost(backend, prefill_tokens);
+        Estimate { prefill_tokens, unloaded_ms, first_event_ms, cost }
     }
 
     /// The cost to running streams: a long prefill delays their events.
-    fn stall_cost(&self, backend: &Backend, unread: f64) -> f64 {
-        let prefill_ms = self.service.pace.prefill_ms(unread) * backend.slowness(self.now);
+    fn stall_cost(&self, backend: &Backend, prefill_tokens: f64) -> f64 {
+        let prefill_ms = self.service.latency_model.prefill_ms(prefill_tokens) * backend.slowness(self.now);
         let blocked_ms = prefill_ms + backend.own_prefill_wait_ms(self.now);
         let share = (blocked_ms / self.weights.stall_prefill_ms - 0.5).clamp(0.0, 1.0);
         share
@@ -131,29 +131,31 @@
     /// Estimates a request to a service that is not an inference engine and has no prefill.
     fn estimate_without_prefill(&self, backend: &Backend, slowness: f64) -> Estimate {
         let slots = f64::from(backend.view.slots.max(1));
-        let before = (backend.requests(self.now) + 1.0 - slots).max(0.0) / slots;
-        let unloaded_ms = self.service.pace.response_ms() * slowness;
-        let wait_ms = (unloaded_ms * before).max(backend.silence_ms(self.now) * self.weights.silence);
+        let queued_per_slot = (backend.requests(self.now) + 1.0 - slots).max(0.0) / slots;
+        let unloaded_ms = self.service.latency_model.response_ms() * slowness;
+        let wait_ms = (unloaded_ms * queued_per_slot)
+            .max(backend.silence_ms(self.now) * self.weights.silence_wait_factor);
         let first_event_ms = unloaded_ms + wait_ms;
-        let cost = self.latency_cost(first_event_ms) + self.cross_zone_cost(backend) + self.taken(backend);
-        Estimate { unread: 0.0, unloaded_ms, first_event_ms, cost }
+        let cost =
+            self.latency_cost(first_event_ms) + self.cross_zone_cost(backend) + self.occupancy_cost(backend);
+        Estimate { prefill_tokens: 0.0, unloaded_ms, first_event_ms, cost }
     }
 
     /// The cost of the occupied slots or memory, whichever share is higher. It stays small at low occupancy; over
     /// capacity a request has to wait for others to complete.
-    fn taken(&self, backend: &Backend) -> f64 {
+    fn occupancy_cost(&self, backend: &Backend) -> f64 {
         let requests = backend.requests(self.now);
         let slots = f64::from(backend.view.slots.max(1));
         let memory =
             self.service.view.engine.map_or(0.0, |engine| engine.kv_tokens as f64) * USABLE_MEMORY_SHARE;
-        let own = f64::from(self.request.prompt_tokens) + f64::from(self.request.response_tokens);
-        let tokens = requests * self.service.mean_tokens + own;
-        let memory_taken = if memory > 0.0 && requests >= 1.0 { tokens / memory } else { 0.0 };
-        let taken = memory_taken.max(requests / slots);
-        if taken >= 1.0 {
-            OVER_CAPACITY_COST * taken
+        let request_tokens = f64::from(self.request.prompt_tokens) + f64::from(self.request.response_tokens);
+        let tokens = requests * self.service.mean_tokens + request_tokens;
+        let memory_occupancy = if memory > 0.0 && requests >= 1.0 { tokens / memory } else { 0.0 };
+        let occupancy = memory_occupancy.max(requests / slots);
+        if occupancy >= 1.0 {
+            OVER_CAPACITY_COST * occupancy
         } else {
-            OCCUPANCY_COST * taken.powi(4)
+            OCCUPANCY_COST * occupancy.powi(4)
         }
     }
 }
--- a/crates/dispatch/src/groups.rs
+++ b/crates/dispatch/src/groups.rs
@@ -38,15 +38,15 @@
 pub(crate) struct Group {
     pub same_zone: HashRing,
     pub all: HashRing,
-    pub turns: Rotations,
+    pub rotations: Rotations,
 }
 
 impl Group {
-    fn new(members: &[Member], turns: Rotations) -> Group {
+    fn new(members: &[Member], rotations: Rotations) -> Group {
         let entry = |member: &Member| RingEntry { hash: member.hash, backend: member.backend };
         let same_zone = members.iter().filter(|member| member.same_zone).map(entry).collect();
         let all = members.iter().map(entry).collect();
-        Group { same_zone: HashRing::new(same_zone), all: HashRing::new(all), turns }
+        Group { same_zone: HashRing::new(same_zone), all: HashRing::new(all), rotations }
     }
 }
 
@@ -54,7 +54,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Groups {
     /// All eligible backends.
-    pub whole: Group,
+    pub all_backends: Group,
     by_kind: [Group; 4],
     /// All backends outside the group of the heaviest type.
     without_heaviest: Group,
@@ -90,7 +90,7 @@
     pub fn group(&self, kind: Kind) -> &Group {
         let group = &self.by_kind[kind.index()];
         if group.all.is_empty() {
-            &self.whole
+            &self.all_backends
         } else {
             group
         }
@@ -101,7 +101,7 @@
     pub fn home_group(&self, kind: Kind) -> &Group {
         match kind {
             Kind::Both => self.group(kind),
-            _ if self.without_heaviest.all.is_empty() => &self.whole,
+            _ if self.without_heaviest.all.is_empty() => &self.all_backends,
             _ => &self.without_heaviest,
         }
     }
@@ -110,7 +110,7 @@
     pub fn group_mut(&mut self, kind: Kind) -> &mut Group {
         let group = &mut self.by_kind[kind.index()];
         if group.all.is_empty() {
-            &mut self.whole
+            &mut self.all_backends
         } else {
             group
         }
@@ -135,14 +135,14 @@
     pub fn rebuild(&mut self, now: Timestamp, members: Vec<Member>, start: usize) {
         let members = interleave_zones(members);
         let rotation = Rotation::starting_at(start);
-        let turns = Rotations { same_zone: rotation, all: rotation };
-        self.whole = Group::new(&members, turns);
+        let rotations = Rotations { same_zone: rotation, all: rotation };
+        self.all_backends = Group::new(&members, rotations);
         let rebuild_due = self.rebuild_due(now);
         let enough_requests = self.requests >= min_requests_for_partition(members.len());
         if !enough_requests {
             self.clear_partition();
         } else if rebuild_due || self.by_kind.iter().any(|group| !group.all.is_empty()) {
-            self.partition(&members, turns);
+            self.partition(&members, rotations);
         }
         if rebuild_due && enough_requests {
             self.traffic = self.traffic.map(|units| units * TRAFFIC_DECAY);
@@ -160,7 +160,7 @@
     }
 
     /// Assigns consecutive ranges of the member order to the types, sized by their share of the traffic.
-    fn partition(&mut self, members: &[Member], turns: Rotations) {
+    fn partition(&mut self, members: &[Member], rotations: Rotations) {
         let units: f64 = self.traffic.iter().sum();
         let count = members.len();
         let mut from = 0.0;
@@ -175,9 +175,9 @@
             // A type with a share below one backend uses the backend that its share falls on, together with other types.
             let first = (f64::round(from) as usize).min(count - 1);
             let last = (f64::round(until) as usize).clamp(first + 1, count);
-            self.by_kind[kind.index()] = Group::new(&members[first..last], turns);
+            self.by_kind[kind.index()] = Group::new(&members[first..last], rotations);
             if kind == Kind::Both {
-                self.without_heaviest = Group::new(&members[..first], turns);
+                self.without_heaviest = Group::new(&members[..first], rotations);
             }
             from = until;
         }
--- a/crates/dispatch/src/health.rs
+++ b/crates/dispatch/src/health.rs
@@ -31,7 +31,7 @@
     Failure,
     /// A single such failure ejects: the instance is gone or replaced, or it was silent throughout.
     Fatal,
-    Nothing,
+    Neutral,
 }
 
 impl Verdict {
@@ -49,7 +49,7 @@
             Outcome::ClientGone if silent.is_some_and(|silent| silent >= UNRESPONSIVE_AFTER) => {
                 Verdict::Fatal
             }
-            Outcome::Refused | Outcome::ClientGone => Verdict::Nothing,
+            Outcome::Refused | Outcome::ClientGone => Verdict::Neutral,
         }
     }
 }
@@ -94,7 +94,7 @@
     pub fn record_outcome(&mut self, verdict: Verdict, trial: bool, peers: f64) -> bool {
         self.trial_in_flight &= !trial;
         match verdict {
-            Verdict::Nothing => false,
+            Verdict::Neutral => false,
             Verdict::Success => {
                 self.record_success();
                 false
@@ -108,9 +108,9 @@
                     return false;
                 }
                 let above_peers = self.rate > peers * PEER_RATE_FACTOR + PEER_RATE_MARGIN;
-                let many = self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
+                let failing_often = self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
                     || self.rate > 2.5 * FAILURE_RATE_SMOOTHING;
-                trial || verdict == Verdict::Fatal || above_peers && many
+                trial || verdict == Verdict::Fatal || above_peers && failing_often
             }
         }
     }
--- a/crates/dispatch/src/kinds.rs
+++ b/crates/dispatch/src/kinds.rs
@@ -26,7 +26,7 @@
     }
 
     /// The load units of a request of this type.
-    pub fn value(self) -> f64 {
+    pub fn load_units(self) -> f64 {
         LOAD_UNITS[self.index()]
     }
 }
@@ -40,19 +40,19 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Bands {
     mean: f64,
-    seen: f64,
+    observations: f64,
 }
 
 impl Bands {
     pub fn observe(&mut self, size: f64) {
-        self.seen = (self.seen + 1.0).min(MEAN_WINDOW);
-        self.mean += (size - self.mean) / self.seen;
+        self.observations = (self.observations + 1.0).min(MEAN_WINDOW);
+        self.mean += (size - self.mean) / self.observations;
     }
 
     /// The type of a request of this size. Without length hints the mean is 0 and all requests are plain.
     pub fn kind(&self, size: f64) -> Kind {
         let units = if self.mean > 0.0 { size / self.mean } else { 0.0 };
-        let band = BAND_THRESHOLDS.iter().filter(|cut| units >= **cut).count();
+        let band = BAND_THRESHOLDS.iter().filter(|threshold| units >= **threshold).count();
         Kind::ALL[band]
     }
 }
--- a/crates/dispatch/src/pace.rs
+++ b/crates/dispatch/src/latency.rs
@@ -22,14 +22,14 @@
 #[derive(Clone, Copy, Debug)]
 struct Quantile {
     value: f64,
-    seen: u32,
+    observations: u32,
 }
 
 impl Quantile {
     fn observe(&mut self, observed: f64, quantile: f64, bounds: (f64, f64)) {
         // The first observations have a larger step, so that a wrong initial value is corrected quickly.
-        self.seen = self.seen.saturating_add(1);
-        let step = STEP_SIZE * (1.0 + 8.0 / f64::from(self.seen).sqrt());
+        self.observations = self.observations.saturating_add(1);
+        let step = STEP_SIZE * (1.0 + 8.0 / f64::from(self.observations).sqrt());
         let up = if observed > self.value { quantile } else { quantile - 1.0 };
         self.value = (self.value * (1.0 + step * up)).clamp(bounds.0, bounds.1);
     }
@@ -46,8 +46,8 @@
 impl Default for LatencyModel {
     fn default() -> LatencyModel {
         LatencyModel {
-            rate: Quantile { value: INITIAL_TOKENS_PER_MS, seen: 0 },
-            overhead: Quantile { value: INITIAL_OVERHEAD_MS, seen: 0 },
+            rate: Quantile { value: INITIAL_TOKENS_PER_MS, observations: 0 },
+            overhead: Quantile { value: INITIAL_OVERHEAD_MS, observations: 0 },
             response_ms: INITIAL_RESPONSE_MS,
         }
     }
@@ -90,18 +90,18 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DecayingMean {
     value: f64,
-    at: Timestamp,
+    updated_at: Timestamp,
     tau_ms: f64,
 }
 
 impl DecayingMean {
     pub fn new(value: f64, tau_ms: f64) -> DecayingMean {
-        DecayingMean { value, at: Timestamp::ZERO, tau_ms }
+        DecayingMean { value, updated_at: Timestamp::ZERO, tau_ms }
     }
 
     /// The current value, decayed towards `baseline`.
     pub fn value(&self, now: Timestamp, baseline: f64) -> f64 {
-        let age_ms = now.saturating_sub(self.at).as_secs_f64() * 1e3;
+        let age_ms = now.saturating_sub(self.updated_at).as_secs_f64() * 1e3;
         baseline + (self.value - baseline) * (-age_ms / self.tau_ms).exp()
     }
 
@@ -109,10 +109,10 @@
     pub fn observe(&mut self, now: Timestamp, baseline: f64, observed: f64, share: f64) {
         let value = self.value(now, baseline);
         self.value = value + (observed - value) * share;
-        self.at = now;
+        self.updated_at = now;
     }
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/pace.rs"]
+#[path = "../tests/unit/latency.rs"]
 mod tests;
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -11,7 +11,7 @@
 mod health;
 mod interface;
 mod kinds;
-mod pace;
+mod latency;
 mod prefix;
 mod rotation;
 mod service;
--- a/crates/dispatch/src/prefix.rs
+++ b/crates/dispatch/src/prefix.rs
@@ -27,27 +27,29 @@
 impl PrefixCache {
     /// The number of tokens in the longest cached prefix of the prompt.
     pub fn cached_tokens(&self, now: Timestamp, parts: &[PromptPart]) -> u32 {
-        let kept =
-            |part: &&PromptPart| self.parts.get(&part.id).is_some_and(|of| now < of.used + CACHE_RETENTION);
-        parts.iter().take_while(kept).fold(0, |sum, part| sum.saturating_add(part.tokens))
+        let is_cached = |part: &&PromptPart| {
+            self.parts.get(&part.id).is_some_and(|cached| now < cached.used + CACHE_RETENTION)
+        };
+        parts.iter().take_while(is_cached).fold(0, |sum, part| sum.saturating_add(part.tokens))
     }
 
-    /// Records a prompt sent to the backend and evicts parts that are too old or exceed `bound` tokens in total.
-    pub fn sent(&mut self, now: Timestamp, parts: &[PromptPart], bound: u64) {
+    /// Records a prompt sent to the backend and evicts parts that are too old or exceed `max_tokens` tokens in total.
+    pub fn record_prompt(&mut self, now: Timestamp, parts: &[PromptPart], max_tokens: u64) {
         for part in parts {
-            let kept = CachedPart { tokens: part.tokens, used: now };
-            let before = self.parts.insert(part.id, kept).map_or(0, |kept| u64::from(kept.tokens));
-            self.tokens = self.tokens + u64::from(part.tokens) - before;
+            let cached = CachedPart { tokens: part.tokens, used: now };
+            let previous_tokens =
+                self.parts.insert(part.id, cached).map_or(0, |cached| u64::from(cached.tokens));
+            self.tokens = self.tokens + u64::from(part.tokens) - previous_tokens;
             self.uses.push_back((part.id, now));
         }
         while let Some((id, used)) = self.uses.front().copied() {
-            let over_limit = self.tokens > bound || self.uses.len() > MAX_PARTS;
+            let over_limit = self.tokens > max_tokens || self.uses.len() > MAX_PARTS;
             if !over_limit && now < used + CACHE_RETENTION {
                 return;
             }
             self.uses.pop_front();
-            if self.parts.get(&id).is_some_and(|kept| kept.used == used) {
-                self.tokens -= self.parts.remove(&id).map_or(0, |kept| u64::from(kept.tokens));
+            if self.parts.get(&id).is_some_and(|cached| cached.used == used) {
+                self.tokens -= self.parts.remove(&id).map_or(0, |cached| u64::from(cached.tokens));
             }
         }
     }
--- a/crates/dispatch/src/service.rs
+++ b/crates/dispatch/src/service.rs
@@ -4,7 +4,7 @@
 use crate::groups::Groups;
 use crate::interface::{DispatchRequest, ServiceView, Timestamp};
 use crate::kinds::{size, Bands, Kind};
-use crate::pace::{DecayingMean, LatencyModel};
+use crate::latency::{DecayingMean, LatencyModel};
 
 /// The number of distinct priorities; lower priorities share the last one.
 const PRIORITY_LEVELS: usize = 10;
@@ -33,9 +33,9 @@
     pub view: ServiceView,
     pub groups: Groups,
     /// A fingerprint of the member set that the groups were built from: the wrapping sum of the members' hashes.
-    pub members: Option<u64>,
+    pub member_fingerprint: Option<u64>,
     pub bands: Bands,
-    pub pace: LatencyModel,
+    pub latency_model: LatencyModel,
     /// The mean wait caused by requests of other gateways, over all backends.
     baseline_wait_ms: DecayingMean,
     /// The same wait for each priority.
@@ -57,9 +57,9 @@
         Service {
             view,
             groups: Groups::default(),
-            members: None,
+            member_fingerprint: None,
             bands: Bands::default(),
-            pace: LatencyModel::default(),
+            latency_model: LatencyModel::default(),
             baseline_wait_ms: DecayingMean::new(0.0, BASELINE_DECAY_MS),
             priority_wait_ms: [DecayingMean::new(0.0, BASELINE_DECAY_MS); PRIORITY_LEVELS],
             baseline_latency_ratio: DecayingMean::new(0.0, BASELINE_DECAY_MS),
@@ -92,10 +92,10 @@
         let size = load_size(request);
         self.bands.observe(size);
         // Load units of the types lie within one order of magnitude, sizes of engine requests span three.
-        self.groups.observe(now, kind, if self.is_engine() { size } else { kind.value() });
+        self.groups.observe(now, kind, if self.is_engine() { size } else { kind.load_units() });
         self.mean_prefill_ms += (prefill_ms - self.mean_prefill_ms) * MEAN_SMOOTHING;
         self.mean_tokens += (tokens - self.mean_tokens) * MEAN_SMOOTHING;
-        self.mean_load_units += (kind.value() - self.mean_load_units) * MEAN_SMOOTHING;
+        self.mean_load_units += (kind.load_units() - self.mean_load_units) * MEAN_SMOOTHING;
         let (highest, lowest) = self.priorities.unwrap_or((request.priority, request.priority));
         self.priorities = Some((highest.min(request.priority), lowest.max(request.priority)));
     }
@@ -133,8 +133,8 @@
     pub fn record_latency(&mut self, now: Timestamp, priority: u8, excess_ms: f64, latency_ratio: f64) {
         let baseline = self.baseline_wait_ms(now);
         self.baseline_wait_ms.observe(now, 0.0, excess_ms.max(0.0), BASELINE_SMOOTHING);
-        let rank = &mut self.priority_wait_ms[usize::from(priority).min(PRIORITY_LEVELS - 1)];
-        rank.observe(now, baseline, excess_ms.max(0.0), BASELINE_SMOOTHING);
+        let priority_wait = &mut self.priority_wait_ms[usize::from(priority).min(PRIORITY_LEVELS - 1)];
+        priority_wait.observe(now, baseline, excess_ms.max(0.0), BASELINE_SMOOTHING);
         self.baseline_latency_ratio.observe(now, 0.0, latency_ratio.ln(), BASELINE_SMOOTHING);
     }
 }
--- a/crates/dispatch/src/weights.rs
+++ b/crates/dispatch/src/weights.rs
@@ -18,7 +18,7 @@
     /// The decay time constant of a backend's external wait, in ms.
     pub external_wait_decay_ms: f64,
     /// The factor by which a backend's silence past the expected time counts as wait.
-    pub silence: f64,
+    pub silence_wait_factor: f64,
     /// The exponent of the latency cost: the cost is the share of the objective used up by the first event, raised to
     /// this power.
     pub latency_cost_exponent: f64,
@@ -43,7 +43,7 @@
             same_zone_home_cached_probability: 0.2,
             excess_latency_smoothing: 0.5,
             external_wait_decay_ms: 500.0,
-            silence: 5.0,
+            silence_wait_factor: 5.0,
             latency_cost_exponent: 1.0,
             stall_cost_per_stream: 0.3,
             stall_prefill_ms: 300.0,
--- a/crates/dispatch/tests/balance.rs
+++ b/crates/dispatch/tests/balance.rs
@@ -31,7 +31,7 @@
             "stallms" => weights.stall_prefill_ms = value,
             "late" => weights.excess_latency_smoothing = value,
             "tau" => weights.external_wait_decay_ms = value,
-            "silence" => weights.silence = value,
+            "silence" => weights.silence_wait_factor = value,
             "power" => weights.latency_cost_exponent = value,
             "foreign" => weights.outside_group_cost = value,
             _ => panic!("no such weight"),
--- a/crates/dispatch/tests/unit/groups.rs
+++ b/crates/dispatch/tests/unit/groups.rs
@@ -92,10 +92,10 @@
 #[test]
 fn few_requests_do_not_partition_many_backends() {
     let mut groups = Groups::default();
-    let observe = |groups: &mut Groups, count: u32, at: u64| {
+    let observe = |groups: &mut Groups, count: u32, seconds: u64| {
         for request in 0..count {
             let kind = if request % 3 == 0 { Kind::Both } else { Kind::Plain };
-            groups.observe(Duration::from_secs(at), kind, kind.value());
+            groups.observe(Duration::from_secs(seconds), kind, kind.load_units());
         }
     };
     observe(&mut groups, 200, 0);
--- a/crates/dispatch/tests/unit/kinds.rs
+++ b/crates/dispatch/tests/unit/kinds.rs
@@ -18,5 +18,5 @@
 
 #[test]
 fn load_units_match_the_paper() {
-    assert_eq!(Kind::ALL.map(Kind::value), [1.0, 2.0, 2.0, 3.0]);
+    assert_eq!(Kind::ALL.map(Kind::load_units), [1.0, 2.0, 2.0, 3.0]);
 }
--- a/crates/dispatch/tests/unit/pace.rs
+++ b/crates/dispatch/tests/unit/latency.rs
@@ -3,32 +3,32 @@
 
 /// A model trained with first events of an engine of this speed; 30 % of them are delayed by queueing.
 fn trained_model(tokens_per_ms: f64, overhead_ms: f64) -> LatencyModel {
-    let mut pace = LatencyModel::default();
+    let mut model = LatencyModel::default();
     let mut rng = fastrand::Rng::with_seed(4);
-    for turn in 0..600 {
-        let tokens = if turn % 2 == 0 { 100.0 + 200.0 * rng.f64() } else { 2000.0 + 8000.0 * rng.f64() };
+    for index in 0..600 {
+        let tokens = if index % 2 == 0 { 100.0 + 200.0 * rng.f64() } else { 2000.0 + 8000.0 * rng.f64() };
         let queueing_ms = if rng.f64() < 0.3 { 150.0 * rng.f64() } else { 0.0 };
-        pace.observe_first_event(tokens, overhead_ms + tokens / tokens_per_ms + queueing_ms);
+        model.observe_first_event(tokens, overhead_ms + tokens / tokens_per_ms + queueing_ms);
     }
-    pace
+    model
 }
 
 #[test]
 fn rate_and_overhead_are_estimated_despite_queueing_noise() {
     for (tokens_per_ms, overhead_ms) in [(100.0, 9.0), (62.0, 8.0), (20.0, 30.0)] {
-        let pace = trained_model(tokens_per_ms, overhead_ms);
-        let rate = 10_000.0 / pace.prefill_ms(10_000.0);
+        let model = trained_model(tokens_per_ms, overhead_ms);
+        let rate = 10_000.0 / model.prefill_ms(10_000.0);
         assert!((rate / tokens_per_ms - 1.0).abs() < 0.25, "{rate} for {tokens_per_ms}");
-        let overhead = pace.first_event_ms(0.0);
+        let overhead = model.first_event_ms(0.0);
         assert!((overhead / overhead_ms - 1.0).abs() < 0.5, "{overhead} for {overhead_ms}");
     }
 }
 
 #[test]
 fn response_time_follows_measurements() {
-    let mut pace = LatencyModel::default();
-    (0..200).for_each(|_| pace.observe_response(60.0));
-    assert!((pace.response_ms() - 60.0).abs() < 1.0);
+    let mut model = LatencyModel::default();
+    (0..200).for_each(|_| model.observe_response(60.0));
+    assert!((model.response_ms() - 60.0).abs() < 1.0);
 }
 
 #[test]
--- a/crates/dispatch/tests/unit/prefix.rs
+++ b/crates/dispatch/tests/unit/prefix.rs
@@ -13,7 +13,7 @@
 #[test]
 fn a_part_counts_only_if_all_preceding_parts_are_cached() {
     let mut cache = PrefixCache::default();
-    cache.sent(at(0), &parts(&[1, 2, 3]), 10_000);
+    cache.record_prompt(at(0), &parts(&[1, 2, 3]), 10_000);
     assert_eq!(cache.cached_tokens(at(1), &parts(&[1, 2, 9])), 200);
     assert_eq!(cache.cached_tokens(at(1), &parts(&[9, 2, 3])), 0);
 }
@@ -21,18 +21,18 @@
 #[test]
 fn least_recently_used_parts_are_evicted() {
     let mut cache = PrefixCache::default();
-    cache.sent(at(0), &parts(&[1]), 300);
-    cache.sent(at(1), &parts(&[2]), 300);
-    cache.sent(at(2), &parts(&[1]), 300);
-    cache.sent(at(3), &parts(&[3, 4]), 300);
-    let kept = |id| cache.cached_tokens(at(4), &parts(&[id]));
-    assert_eq!([kept(1), kept(2), kept(3), kept(4)], [100, 0, 100, 100]);
+    cache.record_prompt(at(0), &parts(&[1]), 300);
+    cache.record_prompt(at(1), &parts(&[2]), 300);
+    cache.record_prompt(at(2), &parts(&[1]), 300);
+    cache.record_prompt(at(3), &parts(&[3, 4]), 300);
+    let cached = |id| cache.cached_tokens(at(4), &parts(&[id]));
+    assert_eq!([cached(1), cached(2), cached(3), cached(4)], [100, 0, 100, 100]);
 }
 
 #[test]
 fn parts_expire() {
     let mut cache = PrefixCache::default();
-    cache.sent(at(0), &parts(&[1]), 10_000);
+    cache.record_prompt(at(0), &parts(&[1]), 10_000);
     assert_eq!(cache.cached_tokens(at(59), &parts(&[1])), 100);
     assert_eq!(cache.cached_tokens(at(61), &parts(&[1])), 0);
 }
@@ -41,7 +41,7 @@
 fn memory_is_bounded() {
     let mut cache = PrefixCache::default();
     for id in 0..10 * MAX_PARTS as u64 {
-        cache.sent(at(0), &parts(&[id]), u64::MAX / 2);
+        cache.record_prompt(at(0), &parts(&[id]), u64::MAX / 2);
     }
     assert!(cache.parts.len() <= MAX_PARTS && cache.uses.len() <= MAX_PARTS);
 }
