--- a/crates/dispatch/tests/admission.rs
+++ b/crates/dispatch/tests/admission.rs
@@ -1,11 +1,11 @@
 //! Refusals: only where places are taken, the least urgent first, with a sound time to come again.
 
-#[path = "support/scene.rs"]
+#[path = "support/fixture.rs"]
 #[allow(dead_code)]
-mod scene;
+mod fixture;
 
 use crankpick_dispatch::*;
-use scene::*;
+use fixture::*;
 use std::time::Duration;
 
 /// Fills the engines with what waits to be read: so many requests of 20,000 tokens each.
--- a/crates/dispatch/tests/affinity.rs
+++ b/crates/dispatch/tests/affinity.rs
@@ -1,11 +1,11 @@
 //! Sessions find the same backend from every gateway, and another where that one is over.
 
-#[path = "support/scene.rs"]
+#[path = "support/fixture.rs"]
 #[allow(dead_code)]
-mod scene;
+mod fixture;
 
 use crankpick_dispatch::*;
-use scene::*;
+use fixture::*;
 use std::collections::BTreeSet;
 
 #[test]
--- a/crates/dispatch/tests/health.rs
+++ b/crates/dispatch/tests/health.rs
@@ -1,11 +1,11 @@
 //! Ejection by outcomes and silence, return by trials, and that a service never runs out of backends.
 
-#[path = "support/scene.rs"]
+#[path = "support/fixture.rs"]
 #[allow(dead_code)]
-mod scene;
+mod fixture;
 
 use crankpick_dispatch::*;
-use scene::*;
+use fixture::*;
 
 fn in_one_zone(mut view: FleetView) -> FleetView {
     view.backends.iter_mut().for_each(|backend| backend.zone = "a".into());
--- a/crates/dispatch/tests/mechanism.rs
+++ b/crates/dispatch/tests/mechanism.rs
@@ -1,11 +1,11 @@
 //! The design on the ordinary path: types reach their groups, light groups rotate, busy ones take the best fit.
 
-#[path = "support/scene.rs"]
+#[path = "support/fixture.rs"]
 #[allow(dead_code)]
-mod scene;
+mod fixture;
 
 use crankpick_dispatch::*;
-use scene::*;
+use fixture::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/crates/dispatch/tests/support/scene.rs
+++ b/crates/dispatch/tests/support/fixture.rs
@@ -50,13 +50,13 @@
     RoutePolicy { slo: Duration::from_millis(500), sticky: false, idempotent: true };
 
 /// A request to `ledger` or, with lengths, to `llm`.
-pub fn request(service: &str, prompt_tokens: u32, answer_tokens: u32) -> DispatchRequest<'_> {
+pub fn request(service: &str, prompt_tokens: u32, response_tokens: u32) -> DispatchRequest<'_> {
     DispatchRequest {
         service,
         route: TERMS,
         priority: 1,
         prompt_tokens,
-        response_tokens: answer_tokens,
+        response_tokens,
         parts: &[],
         request_bytes: prompt_tokens + 500,
         elapsed: Duration::ZERO,
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -1,40 +1,45 @@
-//! A day of a fleet, played in virtual time.
+//! A discrete-event simulation of a fleet in virtual time.
 
-use super::engine::{Engine, EngineJob, Yield};
-use super::figures::{Ended, Figures};
+use super::engine::{Engine, EngineJob, StepOutput};
+use super::faults::Faults;
 use super::policies::Policy;
-use super::traffic::{arrivals, Arrival, Day, Site};
-use super::troubles::Troubles;
-use super::worker::{Taken, Worker};
+use super::stats::{RequestResult, RunStats};
+use super::traffic::{arrivals, Arrival, Deployment, Workload};
+use super::worker::{Admission, Worker};
 use crankpick_dispatch::*;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
 
-const AGAIN_US: u64 = 10_000_000;
-const CROSS_US: u64 = 900;
-const HERE_US: u64 = 200;
-const HEAD_BYTES: u64 = 600;
-const SILENCE_US: u64 = 1_500_000;
+/// A part prefilled again within this time of its last use counts as repeated prefill.
+const REUSE_WINDOW_US: u64 = 10_000_000;
+const CROSS_ZONE_DELAY_US: u64 = 900;
+const SAME_ZONE_DELAY_US: u64 = 200;
+const HEADER_BYTES: u64 = 600;
+/// The silence after which a gateway retries an idempotent request at another backend.
+const ATTEMPT_TIMEOUT_US: u64 = 1_500_000;
 const EVENT_BYTES: u64 = 65;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Step {
+enum Event {
     Arrive(usize),
-    Reach(usize),
-    Stepped(usize, u32),
-    Worked(usize, usize),
-    First(usize, ReportedLoadKey),
-    Piece(usize),
-    Done(usize),
-    Failed(usize, u8),
-    Silence(usize),
-    Darken,
-    Tell(u8),
+    Deliver(usize),
+    EngineStepDone(usize, u32),
+    WorkerDone(usize, usize),
+    FirstEvent(usize, LoadCounts),
+    StreamEvent(usize),
+    ResponseDone(usize),
+    /// 1 if the backend refused the request, 0 if it reset the connection.
+    AttemptFailed(usize, u8),
+    CheckTimeout(usize),
+    BeginOutage,
+    /// 1 if the engines have recovered, 0 if the registry reports them as silent.
+    UpdateView(u8),
 }
 
-type ReportedLoadKey = (u32, u32, u32);
+/// Running and waiting requests and slots.
+type LoadCounts = (u32, u32, u32);
 
 enum Host {
     Engine(Box<Engine>),
@@ -44,142 +49,156 @@
 struct Backend {
     host: Host,
     zone: usize,
-    stepping: bool,
-    dark: bool,
-    life: u32,
-    resets: f64,
+    step_in_progress: bool,
+    unresponsive: bool,
+    incarnation: u32,
+    reset_rate: f64,
 }
 
-struct Send {
+struct Attempt {
     request: usize,
     gateway: usize,
     backend: usize,
-    heard_us: u64,
-    answered: bool,
-    over: bool,
-    pause_us: u64,
+    last_event_us: u64,
+    first_event_received: bool,
+    ended: bool,
+    max_gap_us: u64,
 }
 
 struct Request {
     arrival: Arrival,
     gateway: usize,
     tried: Vec<BackendKey>,
-    first_us: Option<u64>,
-    refused: bool,
+    first_event_at_us: Option<u64>,
+    rejected: bool,
 }
 
-struct Fleet<'a> {
-    site: &'a Site,
-    troubles: Troubles,
+struct Simulation<'a> {
+    deployment: &'a Deployment,
+    faults: Faults,
     now_us: u64,
-    queue: BinaryHeap<Reverse<(u64, u64, Step)>>,
+    queue: BinaryHeap<Reverse<(u64, u64, Event)>>,
     serial: u64,
     backends: Vec<Backend>,
     gateways: Vec<Box<dyn Policy>>,
     requests: Vec<Request>,
-    sends: Vec<Send>,
-    used: HashMap<u64, u64>,
+    attempts: Vec<Attempt>,
+    /// When each prompt part was last used by any engine; 0 before its first use.
+    last_used_us: HashMap<u64, u64>,
     view: FleetView,
-    figures: Figures,
+    stats: RunStats,
     rng: fastrand::Rng,
 }
 
-/// Plays a day; `policy` makes the way of choosing of the gateway of this number and zone.
-pub fn play(
-    site: &Site,
-    day: &Day,
-    troubles: &Troubles,
+/// Runs a simulation; `policy` creates the selection policy of a gateway from its number and zone.
+pub fn simulate(
+    deployment: &Deployment,
+    workload: &Workload,
+    faults: &Faults,
     seed: u64,
     policy: &dyn Fn(usize, &str) -> Box<dyn Policy>,
-) -> Figures {
-    let mut fleet = Fleet::new(site, day, troubles, seed, policy);
-    while let Some(Reverse((at_us, _, step))) = fleet.queue.pop() {
-        fleet.now_us = at_us;
-        fleet.step(step);
+) -> RunStats {
+    let mut simulation = Simulation::new(deployment, workload, faults, seed, policy);
+    while let Some(Reverse((at_us, _, event))) = simulation.queue.pop() {
+        simulation.now_us = at_us;
+        simulation.handle(event);
     }
-    fleet.figures
+    simulation.stats
 }
 
 pub fn zone_name(zone: usize) -> String {
     format!("zone-{zone}")
 }
 
-impl<'a> Fleet<'a> {
+impl<'a> Simulation<'a> {
     fn new(
-        site: &'a Site,
-        day: &Day,
-        troubles: &Troubles,
+        deployment: &'a Deployment,
+        workload: &Workload,
+        faults: &Faults,
         seed: u64,
         policy: &dyn Fn(usize, &str) -> Box<dyn Policy>,
-    ) -> Fleet<'a> {
-        let gateways = site.gateways.iter().enumerate();
+    ) -> Simulation<'a> {
+        let gateways = deployment.gateway_zones.iter().enumerate();
         let gateways = gateways.map(|(number, zone)| policy(number, &zone_name(*zone))).collect();
-        let mut fleet = Fleet {
-            site,
-            troubles: troubles.clone(),
+        let mut simulation = Simulation {
+            deployment,
+            faults: faults.clone(),
             now_us: 0,
             queue: BinaryHeap::new(),
             serial: 0,
             backends: Vec::new(),
             gateways,
             requests: Vec::new(),
-            sends: Vec::new(),
-            used: HashMap::new(),
+            attempts: Vec::new(),
+            last_used_us: HashMap::new(),
             view: FleetView::default(),
-            figures: Figures::new(site),
+            stats: RunStats::new(deployment),
             rng: fastrand::Rng::with_seed(seed ^ 0xf1ee7),
         };
-        fleet.build();
-        for arrival in arrivals(site, day, seed) {
-            let here: Vec<usize> =
-                (0..site.gateways.len()).filter(|at| site.gateways[*at] == arrival.zone).collect();
-            let gateway = here[fleet.rng.usize(..here.len())];
+        simulation.build();
+        for arrival in arrivals(deployment, workload, seed) {
+            let same_zone: Vec<usize> = (0..deployment.gateway_zones.len())
+                .filter(|gateway| deployment.gateway_zones[*gateway] == arrival.zone)
+                .collect();
+            let gateway = same_zone[simulation.rng.usize(..same_zone.len())];
             let at_us = arrival.at_us;
-            let request = fleet.requests.len();
-            fleet.requests.push(Request {
+            let request = simulation.requests.len();
+            simulation.requests.push(Request {
                 arrival,
                 gateway,
                 tried: Vec::new(),
-                first_us: None,
-                refused: false,
+                first_event_at_us: None,
+                rejected: false,
             });
-            fleet.at(at_us, Step::Arrive(request));
+            simulation.schedule(at_us, Event::Arrive(request));
         }
-        if let Some(dark) = troubles.dark {
+        if let Some(outage) = faults.outage {
             let us = |s: f64| (s * 1e6) as u64;
-            fleet.at(us(dark.from_s), Step::Darken);
-            fleet.at(us(dark.from_s + 3.0), Step::Tell(0));
-            fleet.at(us(dark.from_s + dark.for_s), Step::Tell(1));
+            simulation.schedule(us(outage.from_s), Event::BeginOutage);
+            simulation.schedule(us(outage.from_s + 3.0), Event::UpdateView(0));
+            simulation.schedule(us(outage.from_s + outage.for_s), Event::UpdateView(1));
         }
-        fleet
+        simulation
     }
 
     fn build(&mut self) {
-        let site = self.site;
+        let deployment = self.deployment;
         let service = |name: &str, max_conns, engine| ServiceView { name: name.into(), max_conns, engine };
-        let engine = EngineView { slots: site.engine.slots as u32, kv_tokens: site.engine.kv_tokens };
-        self.view.services =
-            vec![service("llm", site.engine_conns, Some(engine)), service("ledger", site.worker_conns, None)];
-        self.view.gateways = site.gateways.len();
-        for (number, zone) in site.engines.iter().enumerate() {
-            let slow = self.troubles.slow.iter().find(|slow| slow.0 == number).map_or(1.0, |slow| slow.1);
-            let resets = self.troubles.resets.iter().find(|of| of.0 == number).map_or(0.0, |of| of.1);
-            let host = Host::Engine(Box::new(Engine::new(site.engine, slow)));
-            self.add("llm", host, *zone, site.engine.slots as u32, resets);
+        let engine =
+            EngineView { slots: deployment.engine.slots as u32, kv_tokens: deployment.engine.kv_tokens };
+        self.view.services = vec![
+            service("llm", deployment.engine_max_conns, Some(engine)),
+            service("ledger", deployment.worker_max_conns, None),
+        ];
+        self.view.gateways = deployment.gateway_zones.len();
+        for (number, zone) in deployment.engine_zones.iter().enumerate() {
+            let slowness =
+                self.faults.slowness.iter().find(|fault| fault.0 == number).map_or(1.0, |fault| fault.1);
+            let reset_rate =
+                self.faults.reset_rates.iter().find(|fault| fault.0 == number).map_or(0.0, |fault| fault.1);
+            let host = Host::Engine(Box::new(Engine::new(deployment.engine, slowness)));
+            self.add("llm", host, *zone, deployment.engine.slots as u32, reset_rate);
         }
-        for number in 0..site.workers {
+        for number in 0..deployment.workers {
             self.add("ledger", Host::Worker(Worker::new(6, 24)), number % 4, 6, 0.0);
         }
         self.publish();
     }
 
-    fn add(&mut self, service: &str, host: Host, zone: usize, slots: u32, resets: f64) {
+    fn add(&mut self, service: &str, host: Host, zone: usize, slots: u32, reset_rate: f64) {
         let number = self.backends.len();
-        self.backends.push(Backend { host, zone, stepping: false, dark: false, life: 0, resets });
+        self.backends.push(Backend {
+            host,
+            zone,
+            step_in_progress: false,
+            unresponsive: false,
+            incarnation: 0,
+            reset_rate,
+        });
         self.view.backends.push(BackendView {
             id: format!("b{number}").into(),
             service: service.into(),
-            address: format!("127.0.0.1:{}", 1000 + number).parse().expect("an address"),
+            address: format!("127.0.0.1:{}", 1000 + number).parse().expect("a valid socket address"),
             zone: zone_name(zone).into(),
             slots,
             state: BackendState::Ready,
@@ -192,57 +211,57 @@
         self.gateways.iter_mut().for_each(|gateway| gateway.update(now, &self.view));
     }
 
-    fn at(&mut self, at_us: u64, step: Step) {
+    fn schedule(&mut self, at_us: u64, event: Event) {
         self.serial += 1;
-        self.queue.push(Reverse((at_us, self.serial, step)));
+        self.queue.push(Reverse((at_us, self.serial, event)));
     }
 
-    fn step(&mut self, step: Step) {
-        match step {
-            Step::Arrive(request) => self.dispatch(request),
-            Step::Reach(send) => self.reach(send),
-            Step::Stepped(backend, life) => self.step_end(backend, life),
-            Step::Worked(backend, send) => self.worked(backend, send),
-            Step::First(send, load) => self.first(send, load),
-            Step::Piece(send) => self.piece(send),
-            Step::Done(send) => self.end(send, Outcome::Done),
-            Step::Failed(send, refused) => {
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Arrive(request) => self.dispatch(request),
+            Event::Deliver(attempt) => self.deliver(attempt),
+            Event::EngineStepDone(backend, incarnation) => self.engine_step_done(backend, incarnation),
+            Event::WorkerDone(backend, attempt) => self.worker_done(backend, attempt),
+            Event::FirstEvent(attempt, load) => self.first_event(attempt, load),
+            Event::StreamEvent(attempt) => self.stream_event(attempt),
+            Event::ResponseDone(attempt) => self.end(attempt, Outcome::Done),
+            Event::AttemptFailed(attempt, refused) => {
                 let outcome = if refused == 1 { Outcome::Refused } else { Outcome::Reset };
-                self.end(send, outcome);
+                self.end(attempt, outcome);
             }
-            Step::Silence(send) => self.silence(send),
-            Step::Darken => self.darken(),
-            Step::Tell(back) => self.tell(back == 1),
+            Event::CheckTimeout(attempt) => self.check_timeout(attempt),
+            Event::BeginOutage => self.begin_outage(),
+            Event::UpdateView(recovered) => self.update_outage_state(recovered == 1),
         }
     }
 
-    fn wire_us(&self, gateway: usize, backend: usize) -> u64 {
-        let far = self.site.gateways[gateway] != self.backends[backend].zone;
-        if far {
-            CROSS_US
+    fn network_delay_us(&self, gateway: usize, backend: usize) -> u64 {
+        let crosses_zone = self.deployment.gateway_zones[gateway] != self.backends[backend].zone;
+        if crosses_zone {
+            CROSS_ZONE_DELAY_US
         } else {
-            HERE_US
+            SAME_ZONE_DELAY_US
         }
     }
 
     fn dispatch(&mut self, index: usize) {
         let now = Duration::from_micros(self.now_us);
         let request = &self.requests[index];
-        let class = &self.site.classes[request.arrival.class];
+        let class = &self.deployment.classes[request.arrival.class];
         let elapsed = now - Duration::from_micros(request.arrival.at_us);
         let deadline = Duration::from_secs_f64(class.deadline_ms / 1e3);
         let parts = &request.arrival.parts;
-        let engine = class.work.is_none();
-        let asked = DispatchRequest {
+        let is_engine = class.processing_ms.is_none();
+        let dispatch_request = DispatchRequest {
             service: class.service,
             route: RoutePolicy {
                 slo: Duration::from_secs_f64(class.slo_ms / 1e3),
-                sticky: engine,
-                idempotent: class.again,
+                sticky: is_engine,
+                idempotent: class.idempotent,
             },
             priority: class.priority,
             prompt_tokens: parts.iter().map(|part| part.tokens).sum(),
-            response_tokens: if engine { request.arrival.answer_tokens } else { 0 },
+            response_tokens: if is_engine { request.arrival.response_tokens } else { 0 },
             parts,
             request_bytes: class.request_bytes,
             elapsed,
@@ -250,245 +269,260 @@
             tried: &request.tried,
         };
         let gateway = &mut self.gateways[request.gateway];
-        let target = match gateway.choose(now, &asked) {
+        let target = match gateway.choose(now, &dispatch_request) {
             Choice::Send(target) => target,
-            Choice::Full { retry_after } => return self.refuse(index, retry_after),
-            Choice::NoBackend => return self.refuse(index, Duration::from_millis(200)),
+            Choice::Full { retry_after } => return self.reject(index, retry_after),
+            Choice::NoBackend => return self.reject(index, Duration::from_millis(200)),
         };
-        let send = self.sends.len();
-        gateway.begin(now, send, target.backend, &asked);
-        let backend = self.view.backends.iter().position(|of| of.id == target.id).expect("it was listed");
-        let (gateway, answered) = (request.gateway, false);
-        self.figures.further_sends += usize::from(!request.tried.is_empty());
+        let attempt = self.attempts.len();
+        gateway.begin(now, attempt, target.backend, &dispatch_request);
+        let backend = self
+            .view
+            .backends
+            .iter()
+            .position(|backend| backend.id == target.id)
+            .expect("the target is in the view");
+        let (gateway, first_event_received) = (request.gateway, false);
+        self.stats.retries += usize::from(!request.tried.is_empty());
         self.requests[index].tried.push(target.backend);
-        let heard_us = self.now_us;
-        self.sends.push(Send {
+        let last_event_us = self.now_us;
+        self.attempts.push(Attempt {
             request: index,
             gateway,
             backend,
-            heard_us,
-            answered,
-            over: false,
-            pause_us: 0,
+            last_event_us,
+            first_event_received,
+            ended: false,
+            max_gap_us: 0,
         });
-        let wire_us = self.wire_us(gateway, backend);
-        self.at(self.now_us + wire_us, Step::Reach(send));
-        self.at(self.now_us + SILENCE_US, Step::Silence(send));
+        let network_delay_us = self.network_delay_us(gateway, backend);
+        self.schedule(self.now_us + network_delay_us, Event::Deliver(attempt));
+        self.schedule(self.now_us + ATTEMPT_TIMEOUT_US, Event::CheckTimeout(attempt));
     }
 
-    /// The client comes again once, when it is told to, at whatever gateway of its zone.
-    fn refuse(&mut self, index: usize, retry_after: Duration) {
+    /// The client retries once, after the given delay (a third of the remaining time at most), at a random gateway of
+    /// its zone.
+    fn reject(&mut self, index: usize, retry_after: Duration) {
         let request = &mut self.requests[index];
-        let class = &self.site.classes[request.arrival.class];
+        let class = &self.deployment.classes[request.arrival.class];
         let left_us = (request.arrival.at_us + (class.deadline_ms * 1e3) as u64).saturating_sub(self.now_us);
-        if std::mem::replace(&mut request.refused, true) || !request.tried.is_empty() {
-            self.figures.count(request.arrival.class, Ended::Refused);
+        if std::mem::replace(&mut request.rejected, true) || !request.tried.is_empty() {
+            self.stats.record(request.arrival.class, RequestResult::Rejected);
             return;
         }
-        let zone = self.site.gateways[request.gateway];
-        let here: Vec<usize> =
-            (0..self.site.gateways.len()).filter(|at| self.site.gateways[*at] == zone).collect();
-        request.gateway = here[self.rng.usize(..here.len())];
+        let zone = self.deployment.gateway_zones[request.gateway];
+        let same_zone: Vec<usize> = (0..self.deployment.gateway_zones.len())
+            .filter(|gateway| self.deployment.gateway_zones[*gateway] == zone)
+            .collect();
+        request.gateway = same_zone[self.rng.usize(..same_zone.len())];
         let wait_us = (retry_after.as_micros() as u64).min(left_us / 3);
-        self.at(self.now_us + wait_us, Step::Arrive(index));
+        self.schedule(self.now_us + wait_us, Event::Arrive(index));
     }
 
-    fn reach(&mut self, send: usize) {
-        let (backend, request) = (self.sends[send].backend, self.sends[send].request);
-        if self.backends[backend].dark {
-            self.figures.into_dark += 1;
+    fn deliver(&mut self, attempt: usize) {
+        let (backend, request) = (self.attempts[attempt].backend, self.attempts[attempt].request);
+        if self.backends[backend].unresponsive {
+            self.stats.sent_to_unresponsive += 1;
             return;
         }
-        if self.rng.f64() < self.backends[backend].resets {
-            self.at(self.now_us + 1000, Step::Failed(send, 0));
+        if self.rng.f64() < self.backends[backend].reset_rate {
+            self.schedule(self.now_us + 1000, Event::AttemptFailed(attempt, 0));
             return;
         }
         let request = &self.requests[request];
-        let class = &self.site.classes[request.arrival.class];
+        let class = &self.deployment.classes[request.arrival.class];
         for part in &request.arrival.parts {
-            self.used.entry(part.id).or_insert(0);
+            self.last_used_us.entry(part.id).or_insert(0);
         }
         match &mut self.backends[backend].host {
             Host::Engine(engine) => {
                 let parts = request.arrival.parts.clone();
-                let answer_tokens = request.arrival.answer_tokens;
-                engine.push(EngineJob { id: send, priority: class.priority, parts, answer_tokens });
-                self.begin_step(backend);
+                let response_tokens = request.arrival.response_tokens;
+                engine.push(EngineJob { id: attempt, priority: class.priority, parts, response_tokens });
+                self.begin_engine_step(backend);
             }
-            Host::Worker(worker) => match worker.push(send) {
-                Taken::Started => self.start_work(backend, send),
-                Taken::Queued => {}
-                Taken::Refused => self.at(self.now_us + 1000, Step::Failed(send, 1)),
+            Host::Worker(worker) => match worker.push(attempt) {
+                Admission::Started => self.start_processing(backend, attempt),
+                Admission::Queued => {}
+                Admission::Rejected => self.schedule(self.now_us + 1000, Event::AttemptFailed(attempt, 1)),
             },
         }
     }
 
-    fn begin_step(&mut self, at: usize) {
-        let backend = &mut self.backends[at];
+    fn begin_engine_step(&mut self, backend_index: usize) {
+        let backend = &mut self.backends[backend_index];
         let Host::Engine(engine) = &mut backend.host else { return };
-        if backend.stepping || engine.idle() {
+        if backend.step_in_progress || engine.idle() {
             return;
         }
-        backend.stepping = true;
+        backend.step_in_progress = true;
         let us = (engine.begin_step() * 1e3) as u64;
-        let life = backend.life;
-        self.at(self.now_us + us, Step::Stepped(at, life));
+        let incarnation = backend.incarnation;
+        self.schedule(self.now_us + us, Event::EngineStepDone(backend_index, incarnation));
     }
 
-    fn step_end(&mut self, at: usize, life: u32) {
-        let backend = &mut self.backends[at];
-        if backend.life != life || backend.dark {
+    fn engine_step_done(&mut self, backend_index: usize, incarnation: u32) {
+        let backend = &mut self.backends[backend_index];
+        if backend.incarnation != incarnation || backend.unresponsive {
             return;
         }
-        backend.stepping = false;
+        backend.step_in_progress = false;
         let Host::Engine(engine) = &mut backend.host else { return };
-        let first_us = (engine.first_ms() * 1e3) as u64;
-        let yields = engine.finish_step();
-        let read = std::mem::take(&mut engine.read);
-        for part in read {
-            self.figures.read += u64::from(part.tokens);
-            let used = self.used.get(&part.id).copied().unwrap_or(0);
-            let again = used > 0 && self.now_us - used < AGAIN_US;
-            self.figures.read_again += if again { u64::from(part.tokens) } else { 0 };
-            if again && part.id < 1 << 60 {
-                let place = ((part.id >> 40) as usize - 1) * 2 + ((part.id >> 32 & 3) as usize - 1);
-                self.figures.again_by[place] += u64::from(part.tokens);
+        let first_token_overhead_us = (engine.first_token_overhead_ms() * 1e3) as u64;
+        let outputs = engine.finish_step();
+        let prefilled_parts = std::mem::take(&mut engine.prefilled_parts);
+        for part in prefilled_parts {
+            self.stats.prefilled_tokens += u64::from(part.tokens);
+            let last_used_us = self.last_used_us.get(&part.id).copied().unwrap_or(0);
+            let repeated = last_used_us > 0 && self.now_us - last_used_us < REUSE_WINDOW_US;
+            self.stats.reprefilled_tokens += if repeated { u64::from(part.tokens) } else { 0 };
+            if repeated && part.id < 1 << 60 {
+                let index = ((part.id >> 40) as usize - 1) * 2 + ((part.id >> 32 & 3) as usize - 1);
+                self.stats.reprefilled_by_part[index] += u64::from(part.tokens);
             }
-            self.used.insert(part.id, self.now_us);
+            self.last_used_us.insert(part.id, self.now_us);
         }
-        for of in yields {
-            let id = match of {
-                Yield::First { id, .. } | Yield::Event { id } | Yield::Done { id } => id,
+        for output in outputs {
+            let id = match output {
+                StepOutput::FirstToken { id, .. } | StepOutput::Event { id } | StepOutput::Done { id } => id,
             };
-            let at_us = self.now_us + first_us + self.wire_us(self.sends[id].gateway, at);
-            let step = match of {
-                Yield::First { load, .. } => Step::First(id, (load.running, load.waiting, load.slots)),
-                Yield::Event { .. } => Step::Piece(id),
-                Yield::Done { .. } => Step::Done(id),
+            let at_us = self.now_us
+                + first_token_overhead_us
+                + self.network_delay_us(self.attempts[id].gateway, backend_index);
+            let event = match output {
+                StepOutput::FirstToken { load, .. } => {
+                    Event::FirstEvent(id, (load.running, load.waiting, load.slots))
+                }
+                StepOutput::Event { .. } => Event::StreamEvent(id),
+                StepOutput::Done { .. } => Event::ResponseDone(id),
             };
-            if matches!(of, Yield::First { .. }) {
-                let request = self.sends[id].request;
+            if matches!(output, StepOutput::FirstToken { .. }) {
+                let request = self.attempts[id].request;
                 let parts = self.requests[request].arrival.parts.clone();
-                self.used.extend(parts.iter().map(|part| (part.id, self.now_us)));
+                self.last_used_us.extend(parts.iter().map(|part| (part.id, self.now_us)));
             }
-            self.at(at_us, step);
+            self.schedule(at_us, event);
         }
-        self.begin_step(at);
+        self.begin_engine_step(backend_index);
     }
 
-    fn start_work(&mut self, backend: usize, send: usize) {
-        let work_ms = self.requests[self.sends[send].request].arrival.work_ms;
-        self.at(self.now_us + (work_ms * 1e3) as u64, Step::Worked(backend, send));
+    fn start_processing(&mut self, backend: usize, attempt: usize) {
+        let processing_ms = self.requests[self.attempts[attempt].request].arrival.processing_ms;
+        self.schedule(self.now_us + (processing_ms * 1e3) as u64, Event::WorkerDone(backend, attempt));
     }
 
-    fn worked(&mut self, at: usize, send: usize) {
-        let Host::Worker(worker) = &mut self.backends[at].host else { return };
-        let next = worker.done();
+    fn worker_done(&mut self, backend_index: usize, attempt: usize) {
+        let Host::Worker(worker) = &mut self.backends[backend_index].host else { return };
+        let next = worker.complete_one();
         let load = worker.load();
-        let wire_us = self.wire_us(self.sends[send].gateway, at);
-        self.at(self.now_us + wire_us, Step::First(send, (load.running, load.waiting, load.slots)));
-        self.at(self.now_us + wire_us, Step::Done(send));
-        next.into_iter().for_each(|send| self.start_work(at, send));
+        let network_delay_us = self.network_delay_us(self.attempts[attempt].gateway, backend_index);
+        self.schedule(
+            self.now_us + network_delay_us,
+            Event::FirstEvent(attempt, (load.running, load.waiting, load.slots)),
+        );
+        self.schedule(self.now_us + network_delay_us, Event::ResponseDone(attempt));
+        next.into_iter().for_each(|attempt| self.start_processing(backend_index, attempt));
     }
 
-    fn first(&mut self, send: usize, load: ReportedLoadKey) {
+    fn first_event(&mut self, attempt: usize, load: LoadCounts) {
         let now = Duration::from_micros(self.now_us);
-        let of = &mut self.sends[send];
-        if of.over || of.answered {
+        let state = &mut self.attempts[attempt];
+        if state.ended || state.first_event_received {
             return;
         }
-        (of.answered, of.heard_us) = (true, self.now_us);
+        (state.first_event_received, state.last_event_us) = (true, self.now_us);
         let (running, waiting, slots) = load;
         let load = ReportedLoad { running, waiting, slots };
-        self.gateways[of.gateway].first_event(now, send, Some(load));
-        self.requests[of.request].first_us = Some(self.now_us);
+        self.gateways[state.gateway].first_event(now, attempt, Some(load));
+        self.requests[state.request].first_event_at_us = Some(self.now_us);
     }
 
-    fn piece(&mut self, send: usize) {
+    fn stream_event(&mut self, attempt: usize) {
         let now = Duration::from_micros(self.now_us);
-        let of = &mut self.sends[send];
-        if !of.over {
-            of.pause_us = of.pause_us.max(self.now_us - of.heard_us);
-            of.heard_us = self.now_us;
-            self.gateways[of.gateway].event(now, send);
+        let state = &mut self.attempts[attempt];
+        if !state.ended {
+            state.max_gap_us = state.max_gap_us.max(self.now_us - state.last_event_us);
+            state.last_event_us = self.now_us;
+            self.gateways[state.gateway].event(now, attempt);
         }
     }
 
-    fn silence(&mut self, send: usize) {
-        let of = &self.sends[send];
-        if of.over {
+    fn check_timeout(&mut self, attempt: usize) {
+        let state = &self.attempts[attempt];
+        if state.ended {
             return;
         }
-        // A gateway tries another after a while, where that is allowed; a client bears more.
-        let request = &self.requests[of.request];
-        let class = &self.site.classes[request.arrival.class];
-        let patience_us = (class.slo_ms * 4e3).max(2e6) as u64;
-        let again = class.again && !of.answered && request.tried.len() < 2;
-        let bears_us = if again { SILENCE_US } else { patience_us };
-        if self.now_us - of.heard_us >= bears_us {
-            self.end(send, Outcome::TimedOut);
+        // The gateway retries at another backend if the request is idempotent; otherwise the client times out later.
+        let request = &self.requests[state.request];
+        let class = &self.deployment.classes[request.arrival.class];
+        let client_timeout_us = (class.slo_ms * 4e3).max(2e6) as u64;
+        let may_retry = class.idempotent && !state.first_event_received && request.tried.len() < 2;
+        let timeout_us = if may_retry { ATTEMPT_TIMEOUT_US } else { client_timeout_us };
+        if self.now_us - state.last_event_us >= timeout_us {
+            self.end(attempt, Outcome::TimedOut);
         } else {
-            self.at(of.heard_us + bears_us, Step::Silence(send));
+            self.schedule(state.last_event_us + timeout_us, Event::CheckTimeout(attempt));
         }
     }
 
-    fn end(&mut self, send: usize, outcome: Outcome) {
+    fn end(&mut self, attempt: usize, outcome: Outcome) {
         let now = Duration::from_micros(self.now_us);
-        let of = &mut self.sends[send];
-        if std::mem::replace(&mut of.over, true) {
+        let state = &mut self.attempts[attempt];
+        if std::mem::replace(&mut state.ended, true) {
             return;
         }
-        self.gateways[of.gateway].end(now, send, outcome);
-        let (index, backend, gateway, pause_us) = (of.request, of.backend, of.gateway, of.pause_us);
+        self.gateways[state.gateway].end(now, attempt, outcome);
+        let (index, backend, gateway, max_gap_us) =
+            (state.request, state.backend, state.gateway, state.max_gap_us);
         if let Host::Engine(engine) = &mut self.backends[backend].host {
             if outcome != Outcome::Done {
-                engine.cancel(send);
+                engine.cancel(attempt);
             }
         }
-        let class = self.requests[index].arrival.class;
-        let terms = &self.site.classes[class];
-        if self.site.gateways[gateway] != self.backends[backend].zone {
-            let events = u64::from(self.requests[index].arrival.answer_tokens / 7);
-            let answer = if terms.work.is_some() { 800 } else { events * EVENT_BYTES };
-            self.figures.crossed_bytes += u64::from(terms.request_bytes) + answer + HEAD_BYTES;
+        let class_index = self.requests[index].arrival.class;
+        let class = &self.deployment.classes[class_index];
+        if self.deployment.gateway_zones[gateway] != self.backends[backend].zone {
+            let events = u64::from(self.requests[index].arrival.response_tokens / 7);
+            let response_bytes = if class.processing_ms.is_some() { 800 } else { events * EVENT_BYTES };
+            self.stats.cross_zone_bytes += u64::from(class.request_bytes) + response_bytes + HEADER_BYTES;
         }
         let request = &self.requests[index];
-        let again = outcome == Outcome::Refused || terms.again || outcome == Outcome::NoConnection;
-        match (outcome, request.first_us) {
-            (Outcome::Done, Some(first_us)) => {
-                let first_ms = (first_us - request.arrival.at_us) as f64 / 1e3;
-                let second = request.refused;
-                let stalled = pause_us as f64 / 1e3 > terms.gap_ms;
-                self.figures.count(class, Ended::Answered { first_ms, second, stalled });
+        let may_retry = outcome == Outcome::Refused || class.idempotent || outcome == Outcome::NoConnection;
+        match (outcome, request.first_event_at_us) {
+            (Outcome::Done, Some(first_event_at_us)) => {
+                let first_event_ms = (first_event_at_us - request.arrival.at_us) as f64 / 1e3;
+                let retried = request.rejected;
+                let stalled = max_gap_us as f64 / 1e3 > class.max_event_gap_ms;
+                self.stats.record(class_index, RequestResult::Completed { first_event_ms, retried, stalled });
             }
-            (_, None) if again && request.tried.len() < 2 => self.dispatch(index),
-            _ => self.figures.count(class, Ended::Lost),
+            (_, None) if may_retry && request.tried.len() < 2 => self.dispatch(index),
+            _ => self.stats.record(class_index, RequestResult::Failed),
         }
     }
 
-    fn darkened(&self) -> Vec<usize> {
-        let dark = self.troubles.dark.map_or(0.0, |dark| dark.share);
-        let count = (self.site.engines.len() as f64 * dark).ceil() as usize;
-        (0..count).map(|number| number * self.site.engines.len() / count.max(1)).collect()
+    fn affected_engines(&self) -> Vec<usize> {
+        let share = self.faults.outage.map_or(0.0, |outage| outage.share);
+        let count = (self.deployment.engine_zones.len() as f64 * share).ceil() as usize;
+        (0..count).map(|number| number * self.deployment.engine_zones.len() / count.max(1)).collect()
     }
 
-    fn darken(&mut self) {
-        for at in self.darkened() {
-            self.backends[at].dark = true;
-            self.backends[at].life += 1;
+    fn begin_outage(&mut self) {
+        for backend_index in self.affected_engines() {
+            self.backends[backend_index].unresponsive = true;
+            self.backends[backend_index].incarnation += 1;
         }
     }
 
-    fn tell(&mut self, back: bool) {
-        for at in self.darkened() {
-            let listed = &mut self.view.backends[at];
-            listed.state = if back { BackendState::Ready } else { BackendState::Silent };
-            if back {
-                let backend = &mut self.backends[at];
-                listed.id = Arc::from(format!("b{at}.{}", backend.life));
-                backend.dark = false;
-                backend.stepping = false;
-                backend.host = Host::Engine(Box::new(Engine::new(self.site.engine, 1.0)));
+    fn update_outage_state(&mut self, recovered: bool) {
+        for backend_index in self.affected_engines() {
+            let listed = &mut self.view.backends[backend_index];
+            listed.state = if recovered { BackendState::Ready } else { BackendState::Silent };
+            if recovered {
+                let backend = &mut self.backends[backend_index];
+                listed.id = Arc::from(format!("b{backend_index}.{}", backend.incarnation));
+                backend.unresponsive = false;
+                backend.step_in_progress = false;
+                backend.host = Host::Engine(Box::new(Engine::new(self.deployment.engine, 1.0)));
             }
         }
         self.publish();
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -1,10 +1,10 @@
-//! A fleet in virtual time: engines, workers, traffic and gateways whose choices are made without one another.
+//! A simulation in virtual time: engines, workers, traffic and gateways that select backends independently.
 
+pub mod deployments;
 pub mod engine;
-pub mod figures;
+pub mod faults;
 pub mod fleet;
 pub mod policies;
-pub mod sites;
+pub mod stats;
 pub mod traffic;
-pub mod troubles;
 pub mod worker;
--- a/crates/dispatch/tests/support/policies.rs
+++ b/crates/dispatch/tests/support/policies.rs
@@ -1,32 +1,32 @@
-//! What a gateway chooses by: the dispatcher, and the plain ways that it is measured against.
+//! Backend selection policies of the simulated gateways: the dispatcher and the baselines that it is compared with.
 
 use crankpick_dispatch::*;
 use fastrand::Rng;
 use std::collections::HashMap;
 
-/// The way one gateway chooses; sends are named by the harness's serial.
+/// The selection policy of one gateway. `attempt` is the simulation's number of an attempt.
 pub trait Policy {
     fn update(&mut self, now: Timestamp, view: &FleetView);
     fn choose(&mut self, now: Timestamp, request: &DispatchRequest) -> Choice;
-    fn begin(&mut self, now: Timestamp, send: usize, backend: BackendKey, request: &DispatchRequest);
-    fn first_event(&mut self, now: Timestamp, send: usize, load: Option<ReportedLoad>);
-    fn event(&mut self, now: Timestamp, send: usize);
-    fn end(&mut self, now: Timestamp, send: usize, outcome: Outcome);
+    fn begin(&mut self, now: Timestamp, attempt: usize, backend: BackendKey, request: &DispatchRequest);
+    fn first_event(&mut self, now: Timestamp, attempt: usize, load: Option<ReportedLoad>);
+    fn event(&mut self, now: Timestamp, attempt: usize);
+    fn end(&mut self, now: Timestamp, attempt: usize, outcome: Outcome);
 }
 
-/// Chooses by a dispatcher.
-pub struct ByDispatcher {
+/// Selects backends with a `Dispatcher`.
+pub struct DispatcherPolicy {
     pub dispatcher: Dispatcher,
     tickets: HashMap<usize, Ticket>,
 }
 
-impl ByDispatcher {
-    pub fn new(settings: DispatcherSettings, seed: u64) -> ByDispatcher {
-        ByDispatcher { dispatcher: Dispatcher::new(settings, seed), tickets: HashMap::new() }
+impl DispatcherPolicy {
+    pub fn new(settings: DispatcherSettings, seed: u64) -> DispatcherPolicy {
+        DispatcherPolicy { dispatcher: Dispatcher::new(settings, seed), tickets: HashMap::new() }
     }
 }
 
-impl Policy for ByDispatcher {
+impl Policy for DispatcherPolicy {
     fn update(&mut self, now: Timestamp, view: &FleetView) {
         self.dispatcher.update(now, view);
     }
@@ -35,104 +35,112 @@
         self.dispatcher.choose(now, request)
     }
 
-    fn begin(&mut self, now: Timestamp, send: usize, backend: BackendKey, request: &DispatchRequest) {
+    fn begin(&mut self, now: Timestamp, attempt: usize, backend: BackendKey, request: &DispatchRequest) {
         let ticket = self.dispatcher.begin(now, backend, request);
-        self.tickets.insert(send, ticket);
+        self.tickets.insert(attempt, ticket);
     }
 
-    fn first_event(&mut self, now: Timestamp, send: usize, load: Option<ReportedLoad>) {
-        self.dispatcher.first_event(now, self.tickets[&send], load);
+    fn first_event(&mut self, now: Timestamp, attempt: usize, load: Option<ReportedLoad>) {
+        self.dispatcher.first_event(now, self.tickets[&attempt], load);
     }
 
-    fn event(&mut self, now: Timestamp, send: usize) {
-        self.dispatcher.event(now, self.tickets[&send], 7);
+    fn event(&mut self, now: Timestamp, attempt: usize) {
+        self.dispatcher.event(now, self.tickets[&attempt], 7);
     }
 
-    fn end(&mut self, now: Timestamp, send: usize, outcome: Outcome) {
-        let ticket = self.tickets.remove(&send).expect("a send ends once");
+    fn end(&mut self, now: Timestamp, attempt: usize, outcome: Outcome) {
+        let ticket = self.tickets.remove(&attempt).expect("an attempt ends once");
         self.dispatcher.end(now, ticket, outcome);
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plain {
-    /// Each ready backend in turn.
-    Rotation,
-    /// The fewest requests by the newest report or by own sends.
+pub enum Baseline {
+    /// Round robin over the ready backends.
+    RoundRobin,
+    /// The fewest requests, taking the maximum of the latest reported load and this gateway's attempts in flight.
     LeastLoaded,
 }
 
-/// Chooses in a plain way.
-pub struct ByPlain {
-    way: Plain,
+/// Selects backends with a baseline algorithm.
+pub struct BaselinePolicy {
+    baseline: Baseline,
     view: FleetView,
-    turn: usize,
+    next_index: usize,
     rng: Rng,
-    out: Vec<u32>,
-    told: Vec<u32>,
-    sends: HashMap<usize, usize>,
+    in_flight: Vec<u32>,
+    reported: Vec<u32>,
+    attempt_backends: HashMap<usize, usize>,
 }
 
-impl ByPlain {
-    pub fn new(way: Plain, seed: u64) -> ByPlain {
+impl BaselinePolicy {
+    pub fn new(baseline: Baseline, seed: u64) -> BaselinePolicy {
         let mut rng = Rng::with_seed(seed);
-        let (turn, view) = (rng.usize(..64), FleetView::default());
-        ByPlain { way, view, turn, rng, out: Vec::new(), told: Vec::new(), sends: HashMap::new() }
+        let (next_index, view) = (rng.usize(..64), FleetView::default());
+        BaselinePolicy {
+            baseline,
+            view,
+            next_index,
+            rng,
+            in_flight: Vec::new(),
+            reported: Vec::new(),
+            attempt_backends: HashMap::new(),
+        }
     }
 
     fn pick(&mut self, usable: &[usize]) -> usize {
-        self.turn += 1;
-        match self.way {
-            Plain::Rotation => usable[self.turn % usable.len()],
-            Plain::LeastLoaded => {
-                let load = |at: &usize| self.out[*at].max(self.told[*at]);
+        self.next_index += 1;
+        match self.baseline {
+            Baseline::RoundRobin => usable[self.next_index % usable.len()],
+            Baseline::LeastLoaded => {
+                let load = |index: &usize| self.in_flight[*index].max(self.reported[*index]);
                 let least = usable.iter().map(load).min().unwrap_or(0);
-                let ties: Vec<usize> = usable.iter().copied().filter(|at| load(at) == least).collect();
+                let ties: Vec<usize> = usable.iter().copied().filter(|index| load(index) == least).collect();
                 ties[self.rng.usize(..ties.len())]
             }
         }
     }
 }
 
-impl Policy for ByPlain {
+impl Policy for BaselinePolicy {
     fn update(&mut self, _now: Timestamp, view: &FleetView) {
         self.view = view.clone();
-        self.out.resize(view.backends.len(), 0);
-        self.told.resize(view.backends.len(), 0);
+        self.in_flight.resize(view.backends.len(), 0);
+        self.reported.resize(view.backends.len(), 0);
     }
 
     fn choose(&mut self, _now: Timestamp, request: &DispatchRequest) -> Choice {
         let usable: Vec<usize> = (0..self.view.backends.len())
-            .filter(|at| {
-                let backend = &self.view.backends[*at];
-                let tried = request.tried.contains(&BackendKey(*at as u32));
+            .filter(|index| {
+                let backend = &self.view.backends[*index];
+                let tried = request.tried.contains(&BackendKey(*index as u32));
                 &*backend.service == request.service && backend.state == BackendState::Ready && !tried
             })
             .collect();
         if usable.is_empty() {
             return Choice::NoBackend;
         }
-        let at = self.pick(&usable);
-        let backend = &self.view.backends[at];
+        let index = self.pick(&usable);
+        let backend = &self.view.backends[index];
         let (id, address) = (backend.id.clone(), backend.address);
         let priority_header = Some(request.priority);
-        Choice::Send(Target { backend: BackendKey(at as u32), id, address, priority_header })
+        Choice::Send(Target { backend: BackendKey(index as u32), id, address, priority_header })
     }
 
-    fn begin(&mut self, _now: Timestamp, send: usize, backend: BackendKey, _request: &DispatchRequest) {
-        self.out[backend.0 as usize] += 1;
-        self.sends.insert(send, backend.0 as usize);
+    fn begin(&mut self, _now: Timestamp, attempt: usize, backend: BackendKey, _request: &DispatchRequest) {
+        self.in_flight[backend.0 as usize] += 1;
+        self.attempt_backends.insert(attempt, backend.0 as usize);
     }
 
-    fn first_event(&mut self, _now: Timestamp, send: usize, load: Option<ReportedLoad>) {
-        let at = self.sends[&send];
-        self.told[at] = load.map_or(self.told[at], |load| load.running + load.waiting);
+    fn first_event(&mut self, _now: Timestamp, attempt: usize, load: Option<ReportedLoad>) {
+        let index = self.attempt_backends[&attempt];
+        self.reported[index] = load.map_or(self.reported[index], |load| load.running + load.waiting);
     }
 
-    fn event(&mut self, _now: Timestamp, _send: usize) {}
+    fn event(&mut self, _now: Timestamp, _attempt: usize) {}
 
-    fn end(&mut self, _now: Timestamp, send: usize, _outcome: Outcome) {
-        let at = self.sends.remove(&send).expect("a send ends once");
-        self.out[at] -= 1;
+    fn end(&mut self, _now: Timestamp, attempt: usize, _outcome: Outcome) {
+        let index = self.attempt_backends.remove(&attempt).expect("an attempt ends once");
+        self.in_flight[index] -= 1;
     }
 }
--- a/crates/dispatch/tests/support/traffic.rs
+++ b/crates/dispatch/tests/support/traffic.rs
@@ -1,18 +1,18 @@
-//! Traffic of a deployment: its classes of requests, drawn as a Poisson process with bursts and a hot session.
+//! Traffic generator: a Poisson process over the request classes of a deployment, with an optional burst and hot session.
 
 use super::engine::EngineModel;
 use crankpick_dispatch::PromptPart;
 use fastrand::Rng;
 
-/// A length drawn from a lognormal distribution with this mean.
+/// A lognormal distribution, truncated at `max`; `spread` is the standard deviation of the logarithm.
 #[derive(Clone, Copy, Debug)]
-pub struct Length {
+pub struct LogNormal {
     pub mean: f64,
     pub spread: f64,
     pub max: f64,
 }
 
-impl Length {
+impl LogNormal {
     pub fn draw(&self, rng: &mut Rng) -> f64 {
         let (u, v) = (1.0 - rng.f64(), rng.f64());
         let normal = (-2.0 * u.ln()).sqrt() * (std::f64::consts::TAU * v).cos();
@@ -26,37 +26,43 @@
 pub struct Class {
     pub name: &'static str,
     pub service: &'static str,
-    pub per_s: f64,
+    pub requests_per_s: f64,
     pub slo_ms: f64,
     pub deadline_ms: f64,
-    /// The longest pause between events at which an answer is on time.
-    pub gap_ms: f64,
-    pub worth: f64,
-    pub late_worth: f64,
+    /// The maximum gap between stream events with which a response counts as on time.
+    pub max_event_gap_ms: f64,
+    pub value: f64,
+    pub late_value: f64,
     pub priority: u8,
-    pub again: bool,
+    pub idempotent: bool,
     pub request_bytes: u32,
-    pub prompt: Length,
-    pub pieces: Length,
-    pub common: (Length, u64),
-    pub own: (Length, u64),
-    pub work: Option<Length>,
+    pub unique_part: LogNormal,
+    pub response_events: LogNormal,
+    /// The length of the part shared by many sessions, and the number of distinct ones.
+    pub shared_part: (LogNormal, u64),
+    /// The length of the part specific to a session, and the number of sessions.
+    pub session_part: (LogNormal, u64),
+    /// The processing time of classes without an engine.
+    pub processing_ms: Option<LogNormal>,
 }
 
-/// A deployment.
+/// The machines of a deployment and its traffic.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct Deployment {
     pub name: &'static str,
     pub engine: EngineModel,
-    pub engines: Vec<usize>,
-    pub engine_conns: u32,
+    /// The zone of each engine.
+    pub engine_zones: Vec<usize>,
+    pub engine_max_conns: u32,
     pub workers: usize,
-    pub worker_conns: u32,
-    pub gateways: Vec<usize>,
-    pub zones: Vec<f64>,
+    pub worker_max_conns: u32,
+    /// The zone of each gateway.
+    pub gateway_zones: Vec<usize>,
+    /// The relative request rate of each zone.
+    pub zone_weights: Vec<f64>,
     pub classes: Vec<Class>,
-    pub cross_zone_gb: f64,
-    pub read: f64,
+    pub cross_zone_cost_per_gb: f64,
+    pub reprefill_cost_per_k_tokens: f64,
 }
 
 /// A request as its client sends it.
@@ -66,77 +72,90 @@
     pub zone: usize,
     pub class: usize,
     pub parts: Vec<PromptPart>,
-    pub answer_tokens: u32,
-    pub work_ms: f64,
+    pub response_tokens: u32,
+    pub processing_ms: f64,
 }
 
-/// What is drawn: how long, how much, and what comes between.
+/// The duration and the volume of the traffic to generate.
 #[derive(Clone, Copy, Debug)]
-pub struct Day {
+pub struct Workload {
     pub seconds: f64,
     pub scale: f64,
-    /// From when, until when, how many times the traffic.
+    /// The start and the end in seconds, and the factor by which the request rate rises.
     pub burst: Option<(f64, f64, f64)>,
-    /// Class and share of it that is about one session.
-    pub hot: Option<(usize, f64)>,
+    /// A class, and the share of its requests that belong to one session.
+    pub hot_session: Option<(usize, f64)>,
 }
 
-fn length_of(id: u64, length: Length) -> u32 {
+/// The length of a part, the same whenever the part occurs.
+fn length_of(id: u64, length: LogNormal) -> u32 {
     length.draw(&mut Rng::with_seed(id)) as u32
 }
 
-fn part(class: usize, level: u64, thing: u64, length: Length) -> PromptPart {
-    let id = (class as u64 + 1) << 40 | level << 32 | thing;
+fn part(class: usize, part_type: u64, number: u64, length: LogNormal) -> PromptPart {
+    let id = (class as u64 + 1) << 40 | part_type << 32 | number;
     PromptPart { id, tokens: length_of(id, length) }
 }
 
-fn draw_request(site: &Site, day: &Day, class: usize, serial: u64, rng: &mut Rng) -> Arrival {
-    let of = &site.classes[class];
-    let hot = day.hot.filter(|(hot, share)| *hot == class && rng.f64() < *share);
-    let skewed = |rng: &mut Rng, things: u64| (rng.f64().powf(1.3) * things as f64) as u64;
+fn draw_request(
+    deployment: &Deployment,
+    workload: &Workload,
+    class: usize,
+    serial: u64,
+    rng: &mut Rng,
+) -> Arrival {
+    let class_spec = &deployment.classes[class];
+    let hot = workload.hot_session.filter(|(hot, share)| *hot == class && rng.f64() < *share);
+    let skewed = |rng: &mut Rng, count: u64| (rng.f64().powf(1.3) * count as f64) as u64;
     let mut parts = Vec::new();
-    if of.work.is_none() {
-        let session = if hot.is_some() { 0 } else { skewed(rng, of.own.1) };
-        parts.push(part(class, 1, session % of.common.1, of.common.0));
-        parts.push(part(class, 2, session, of.own.0));
-        parts.push(PromptPart { id: 1 << 60 | serial, tokens: of.prompt.draw(rng) as u32 });
+    // Requests to engines only: prompts consist of a shared, a session and a unique part.
+    if class_spec.processing_ms.is_none() {
+        let session = if hot.is_some() { 0 } else { skewed(rng, class_spec.session_part.1) };
+        parts.push(part(class, 1, session % class_spec.shared_part.1, class_spec.shared_part.0));
+        parts.push(part(class, 2, session, class_spec.session_part.0));
+        parts.push(PromptPart { id: 1 << 60 | serial, tokens: class_spec.unique_part.draw(rng) as u32 });
     }
     Arrival {
         at_us: 0,
         zone: 0,
         class,
         parts,
-        answer_tokens: (of.pieces.draw(rng) * f64::from(site.engine.stride)) as u32,
-        work_ms: of.work.map_or(0.0, |work| work.draw(rng)),
+        response_tokens: (class_spec.response_events.draw(rng)
+            * f64::from(deployment.engine.tokens_per_event)) as u32,
+        processing_ms: class_spec.processing_ms.map_or(0.0, |processing_ms| processing_ms.draw(rng)),
     }
 }
 
-/// All requests of a day in their order.
-pub fn arrivals(site: &Site, day: &Day, seed: u64) -> Vec<Arrival> {
+/// Generates all requests of a workload in order of arrival.
+pub fn arrivals(deployment: &Deployment, workload: &Workload, seed: u64) -> Vec<Arrival> {
     let mut rng = Rng::with_seed(seed);
-    let whole: f64 = site.classes.iter().map(|class| class.per_s).sum::<f64>() * day.scale;
-    let zones: f64 = site.zones.iter().sum();
-    let most = day.burst.map_or(1.0, |burst| burst.2);
-    let (mut at, mut all) = (0.0, Vec::new());
-    while at < day.seconds {
-        at += -(1.0 - rng.f64()).ln() / (whole * most);
-        let now = day.burst.map_or(1.0, |(from, until, x)| if (from..until).contains(&at) { x } else { 1.0 });
-        if rng.f64() * most > now {
+    let base_rate: f64 =
+        deployment.classes.iter().map(|class| class.requests_per_s).sum::<f64>() * workload.scale;
+    let total_zone_weight: f64 = deployment.zone_weights.iter().sum();
+    let max_factor = workload.burst.map_or(1.0, |burst| burst.2);
+    let (mut at_s, mut requests) = (0.0, Vec::new());
+    while at_s < workload.seconds {
+        at_s += -(1.0 - rng.f64()).ln() / (base_rate * max_factor);
+        let factor = workload
+            .burst
+            .map_or(1.0, |(from, until, factor)| if (from..until).contains(&at_s) { factor } else { 1.0 });
+        if rng.f64() * max_factor > factor {
             continue;
         }
-        let mut drawn = rng.f64() * whole / day.scale;
-        let class = site.classes.iter().position(|class| {
-            drawn -= class.per_s;
+        let mut drawn = rng.f64() * base_rate / workload.scale;
+        let class = deployment.classes.iter().position(|class| {
+            drawn -= class.requests_per_s;
             drawn < 0.0
         });
-        let mut place = rng.f64() * zones;
-        let zone = site.zones.iter().position(|zone| {
-            place -= zone;
-            place < 0.0
+        let mut offset = rng.f64() * total_zone_weight;
+        let zone = deployment.zone_weights.iter().position(|zone| {
+            offset -= zone;
+            offset < 0.0
         });
-        let mut request = draw_request(site, day, class.unwrap_or(0), all.len() as u64, &mut rng);
-        (request.at_us, request.zone) = ((at * 1e6) as u64, zone.unwrap_or(0));
-        all.push(request);
+        let mut request =
+            draw_request(deployment, workload, class.unwrap_or(0), requests.len() as u64, &mut rng);
+        (request.at_us, request.zone) = ((at_s * 1e6) as u64, zone.unwrap_or(0));
+        requests.push(request);
     }
-    all
+    requests
 }
--- a/crates/dispatch/tests/support/worker.rs
+++ b/crates/dispatch/tests/support/worker.rs
@@ -1,4 +1,4 @@
-//! A small model of a backend without an engine: slots, a queue, and a refusal where both are full.
+//! A model of a backend that is not an engine: slots and a bounded queue. It rejects requests when both are full.
 
 use crankpick_dispatch::ReportedLoad;
 use std::collections::VecDeque;
@@ -6,38 +6,38 @@
 #[derive(Debug)]
 pub struct Worker {
     slots: usize,
-    queue: usize,
+    max_queue_length: usize,
     running: usize,
     waiting: VecDeque<usize>,
 }
 
-/// What became of a request that arrived.
+/// What the worker does with a new request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum Admission {
     Started,
     Queued,
-    Refused,
+    Rejected,
 }
 
 impl Worker {
-    pub fn new(slots: usize, queue: usize) -> Worker {
-        Worker { slots, queue, running: 0, waiting: VecDeque::new() }
+    pub fn new(slots: usize, max_queue_length: usize) -> Worker {
+        Worker { slots, max_queue_length, running: 0, waiting: VecDeque::new() }
     }
 
-    pub fn push(&mut self, id: usize) -> Taken {
+    pub fn push(&mut self, id: usize) -> Admission {
         if self.running < self.slots {
             self.running += 1;
-            Taken::Started
-        } else if self.waiting.len() < self.queue {
+            Admission::Started
+        } else if self.waiting.len() < self.max_queue_length {
             self.waiting.push_back(id);
-            Taken::Queued
+            Admission::Queued
         } else {
-            Taken::Refused
+            Admission::Rejected
         }
     }
 
-    /// One has ended: the next that starts.
-    pub fn done(&mut self) -> Option<usize> {
+    /// Completes a running request and returns the next one to start.
+    pub fn complete_one(&mut self) -> Option<usize> {
         self.running -= 1;
         let next = self.waiting.pop_front();
         self.running += usize::from(next.is_some());
