--- a/crates/dispatch/src/attempts.rs
+++ b/crates/dispatch/src/attempts.rs
@@ -78,11 +78,11 @@
         self.priority = request.priority;
         backend.units += self.units;
         if let Some(engine) = service.view.engine {
-            let memory = if engine.kv_tokens > 0 { engine.kv_tokens } else { DEFAULT_KV_TOKENS };
+            let kv_tokens = if engine.kv_tokens > 0 { engine.kv_tokens } else { DEFAULT_KV_TOKENS };
             backend.prefix_cache.record_prompt(
                 self.began,
                 request.parts,
-                (memory as f64 * KV_CACHE_SHARE) as u64,
+                (kv_tokens as f64 * KV_CACHE_SHARE) as u64,
             );
         }
         if request.tried.is_empty() {
--- a/crates/dispatch/src/backend.rs
+++ b/crates/dispatch/src/backend.rs
@@ -107,7 +107,7 @@
 
     /// How long the backend has been silent beyond the expected time of an attempt; `None` if anything arrived after
     /// the attempt began. If this process was stalled, the time counts from `resumed`.
-    pub fn silent(
+    pub fn overdue_silence(
         &self,
         now: Timestamp,
         began: Timestamp,
--- a/crates/dispatch/src/choose.rs
+++ b/crates/dispatch/src/choose.rs
@@ -82,8 +82,8 @@
                     if rank == 0 { cached_probability.unwrap_or(0.0) * sharing_likelihood } else { 0.0 };
                 // The lists are ordered by penalty, so an existing entry already has the lowest one.
                 match candidates.iter_mut().find(|candidate| candidate.key == *key) {
-                    Some(known) => {
-                        known.cached_probability = known.cached_probability.max(cached_probability)
+                    Some(existing) => {
+                        existing.cached_probability = existing.cached_probability.max(cached_probability)
                     }
                     None => candidates.push(Candidate { key: *key, cached_probability, penalty }),
                 }
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -238,7 +238,7 @@
     pub fn end(&mut self, now: Timestamp, ticket: Ticket, outcome: Outcome) {
         self.detect_stall(now);
         let Some(mut attempt) = self.attempts.remove(ticket) else { return };
-        let peers = if outcome == Outcome::Done { 0.0 } else { self.peer_failure_rate(&attempt) };
+        let peer_failure_rate = if outcome == Outcome::Done { 0.0 } else { self.peer_failure_rate(&attempt) };
         let backend = self.backends.get_mut(attempt.backend.0 as usize).and_then(Option::as_mut);
         let Some((backend, service)) = backend.zip(self.services.get_mut(attempt.service as usize)) else {
             return;
@@ -246,8 +246,8 @@
         backend.in_flight -= 1;
         backend.units -= attempt.units;
         backend.remove_pending(attempt.serial);
-        let silent = backend.silent(now, attempt.began, attempt.expected_ms, self.resumed_at);
-        let verdict = Verdict::classify(outcome, silent, backend.responded_recently(now));
+        let silence = backend.overdue_silence(now, attempt.began, attempt.expected_ms, self.resumed_at);
+        let verdict = Verdict::classify(outcome, silence, backend.responded_recently(now));
         match outcome {
             Outcome::Done => {
                 backend.record_activity(now);
@@ -258,7 +258,7 @@
             Outcome::NoConnection | Outcome::Misdirected => backend.prefix_cache.clear(),
             _ => {}
         }
-        if backend.health.record_outcome(verdict, attempt.trial, peers) {
+        if backend.health.record_outcome(verdict, attempt.trial, peer_failure_rate) {
             self.eject(now, &attempt);
         }
     }
--- a/crates/dispatch/src/fit.rs
+++ b/crates/dispatch/src/fit.rs
@@ -76,8 +76,8 @@
     /// The cost of a first event after this time: its share of the remaining objective, raised to a power.
     fn latency_cost(&self, first_event_ms: f64) -> f64 {
         let objective = self.request.route.slo.saturating_sub(self.request.elapsed);
-        let left_ms = (objective.as_secs_f64() * 1e3).max(MIN_REMAINING_OBJECTIVE_MS);
-        (first_event_ms / left_ms).powf(self.weights.latency_cost_exponent)
+        let remaining_ms = (objective.as_secs_f64() * 1e3).max(MIN_REMAINING_OBJECTIVE_MS);
+        (first_event_ms / remaining_ms).powf(self.weights.latency_cost_exponent)
     }
 
     /// The cost of the request and response bytes that cross a zone boundary.
@@ -99,14 +99,14 @@
             return self.estimate_without_prefill(backend, slowness);
         }
         let cached_tokens = f64::from(backend.prefix_cache.cached_tokens(self.now, self.request.parts));
-        let missing = (self.shared_tokens - cached_tokens).max(0.0);
-        let likely_cached = missing * cache_probability;
+        let uncached_tokens = (self.shared_tokens - cached_tokens).max(0.0);
+        let likely_cached_tokens = uncached_tokens * cache_probability;
         let prompt = f64::from(self.request.prompt_tokens).max(self.shared_tokens);
-        let prefill_tokens = (prompt - cached_tokens - likely_cached).max(0.0);
+        let prefill_tokens = (prompt - cached_tokens - likely_cached_tokens).max(0.0);
         let baseline_ms = self.service.baseline_wait_ms(self.now);
         let unloaded_ms = self.service.latency_model.first_event_ms(prefill_tokens) * slowness;
         let first_event_ms = unloaded_ms + backend.wait_ms(self.now, baseline_ms, self.weights);
-        let reprefill_cost = (missing - likely_cached) / 1e3
+        let reprefill_cost = (uncached_tokens - likely_cached_tokens) / 1e3
             * self.weights.reprefill_cost_per_k_tokens
             * self.reuse_probability;
         let cost = self.latency_cost(first_event_ms)
--- a/crates/dispatch/src/health.rs
+++ b/crates/dispatch/src/health.rs
@@ -35,18 +35,18 @@
 }
 
 impl Verdict {
-    /// Classifies an outcome. `silent` is how long the backend has been silent past the expected time, or `None` if
+    /// Classifies an outcome. `silence` is how long the backend has been silent past the expected time, or `None` if
     /// anything arrived since the attempt began.
-    pub fn classify(outcome: Outcome, silent: Option<Duration>, responded_recently: bool) -> Verdict {
+    pub fn classify(outcome: Outcome, silence: Option<Duration>, responded_recently: bool) -> Verdict {
         match outcome {
             Outcome::Done => Verdict::Success,
             Outcome::BackendError | Outcome::Reset => Verdict::Failure,
             Outcome::NoConnection if responded_recently => Verdict::Failure,
             Outcome::NoConnection | Outcome::Misdirected => Verdict::Fatal,
-            Outcome::TimedOut if silent.is_none() => Verdict::Failure,
+            Outcome::TimedOut if silence.is_none() => Verdict::Failure,
             Outcome::TimedOut => Verdict::Fatal,
             // The client gave up on a backend that was silent throughout.
-            Outcome::ClientGone if silent.is_some_and(|silent| silent >= UNRESPONSIVE_AFTER) => {
+            Outcome::ClientGone if silence.is_some_and(|silence| silence >= UNRESPONSIVE_AFTER) => {
                 Verdict::Fatal
             }
             Outcome::Refused | Outcome::ClientGone => Verdict::Neutral,
@@ -57,7 +57,7 @@
 /// The health of a backend, derived from the outcomes of its attempts.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Health {
-    rate: f64,
+    failure_rate: f64,
     consecutive_failures: u32,
     consecutive_successes: u32,
     ejections: u32,
@@ -69,7 +69,7 @@
 impl Health {
     /// The recent share of failed attempts.
     pub fn failure_rate(&self) -> f64 {
-        self.rate
+        self.failure_rate
     }
 
     /// Whether the backend is ejected, including its trial phase.
@@ -91,7 +91,7 @@
     }
 
     /// Records the end of an attempt and returns whether the backend should be ejected, if the service has enough others.
-    pub fn record_outcome(&mut self, verdict: Verdict, trial: bool, peers: f64) -> bool {
+    pub fn record_outcome(&mut self, verdict: Verdict, trial: bool, peer_failure_rate: f64) -> bool {
         self.trial_in_flight &= !trial;
         match verdict {
             Verdict::Neutral => false,
@@ -100,23 +100,23 @@
                 false
             }
             Verdict::Failure | Verdict::Fatal => {
-                self.rate += (1.0 - self.rate) * FAILURE_RATE_SMOOTHING;
+                self.failure_rate += (1.0 - self.failure_rate) * FAILURE_RATE_SMOOTHING;
                 self.consecutive_successes = 0;
                 self.consecutive_failures += 1;
                 if self.ejected() && !trial {
                     // Attempts started before the ejection carry no new information.
                     return false;
                 }
-                let above_peers = self.rate > peers * PEER_RATE_FACTOR + PEER_RATE_MARGIN;
+                let above_peers = self.failure_rate > peer_failure_rate * PEER_RATE_FACTOR + PEER_RATE_MARGIN;
                 let failing_often = self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
-                    || self.rate > 2.5 * FAILURE_RATE_SMOOTHING;
+                    || self.failure_rate > 2.5 * FAILURE_RATE_SMOOTHING;
                 trial || verdict == Verdict::Fatal || above_peers && failing_often
             }
         }
     }
 
     fn record_success(&mut self) {
-        self.rate -= self.rate * FAILURE_RATE_SMOOTHING;
+        self.failure_rate -= self.failure_rate * FAILURE_RATE_SMOOTHING;
         self.consecutive_failures = 0;
         self.consecutive_successes += 1;
         if self.consecutive_successes >= SUCCESSES_TO_RESET_BACKOFF {
@@ -126,7 +126,7 @@
             self.trials_left = self.trials_left.saturating_sub(1);
             if self.trials_left == 0 {
                 self.ejected_until = None;
-                self.rate = self.rate.min(FAILURE_RATE_SMOOTHING);
+                self.failure_rate = self.failure_rate.min(FAILURE_RATE_SMOOTHING);
             }
         }
     }
--- a/crates/dispatch/tests/admission.rs
+++ b/crates/dispatch/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Refusals: only where places are taken, the least urgent first, with a sound time to come again.
+//! Admission control: requests are rejected only under load, the least urgent first, with a plausible retry delay.
 
 #[path = "support/fixture.rs"]
 #[allow(dead_code)]
@@ -8,17 +8,17 @@
 use fixture::*;
 use std::time::Duration;
 
-/// Fills the engines with what waits to be read: so many requests of 20,000 tokens each.
+/// Queues prefill work: sends `count` requests with prompts of 20,000 tokens that never complete.
 fn fill(dispatcher: &mut Dispatcher, count: u64, priority: u8) {
-    for turn in 0..count {
+    for index in 0..count {
         let request = DispatchRequest { priority, ..request("llm", 20_000, 50) };
-        if let Choice::Send(target) = dispatcher.choose(at(turn), &request) {
-            dispatcher.begin(at(turn), target.backend, &request);
+        if let Choice::Send(target) = dispatcher.choose(at(index), &request) {
+            dispatcher.begin(at(index), target.backend, &request);
         }
     }
 }
 
-fn refused(choice: Choice) -> Option<Duration> {
+fn retry_delay(choice: Choice) -> Option<Duration> {
     match choice {
         Choice::Full { retry_after } => Some(retry_after),
         _ => None,
@@ -26,40 +26,40 @@
 }
 
 #[test]
-fn nothing_is_refused_while_nothing_waits() {
+fn nothing_is_rejected_without_waiting_requests() {
     let mut dispatcher = dispatcher(&engines(2), 1);
     let long = DispatchRequest { priority: 9, ..request("llm", 200_000, 50) };
     target(dispatcher.choose(at(0), &long));
 }
 
 #[test]
-fn the_least_urgent_are_refused_first() {
+fn the_least_urgent_requests_are_rejected_first() {
     let mut dispatcher = dispatcher(&engines(2), 1);
-    let play_one = |dispatcher: &mut Dispatcher, priority| {
-        play(dispatcher, 0, &DispatchRequest { priority, ..request("llm", 500, 50) }, 10)
+    let complete_one = |dispatcher: &mut Dispatcher, priority| {
+        send_and_complete(dispatcher, 0, &DispatchRequest { priority, ..request("llm", 500, 50) }, 10)
     };
-    play_one(&mut dispatcher, 0);
-    play_one(&mut dispatcher, 2);
-    // Two deep at each, 333 ms each: past 0.8 objectives of 500 ms and below 1.5 of them.
+    complete_one(&mut dispatcher, 0);
+    complete_one(&mut dispatcher, 2);
+    // Two requests wait at each engine, 333 ms each: more than 0.8 and less than 1.5 times the objective of 500 ms.
     fill(&mut dispatcher, 4, 0);
-    let at_all = |priority| DispatchRequest { priority, ..request("llm", 500, 50) };
-    assert!(refused(dispatcher.choose(at(20), &at_all(2))).is_some());
-    assert!(refused(dispatcher.choose(at(20), &at_all(0))).is_none());
+    let with_priority = |priority| DispatchRequest { priority, ..request("llm", 500, 50) };
+    assert!(retry_delay(dispatcher.choose(at(20), &with_priority(2))).is_some());
+    assert!(retry_delay(dispatcher.choose(at(20), &with_priority(0))).is_none());
 }
 
 #[test]
-fn a_refusal_says_when_to_come_again() {
+fn a_rejection_contains_a_retry_delay() {
     let mut dispatcher = dispatcher(&engines(2), 1);
     fill(&mut dispatcher, 200, 0);
-    let retry = refused(dispatcher.choose(at(210), &request("llm", 500, 50)));
-    let retry = retry.expect("all wait far past their objective");
+    let retry = retry_delay(dispatcher.choose(at(210), &request("llm", 500, 50)));
+    let retry = retry.expect("the wait far exceeds the objective at every engine");
     assert!(retry >= Duration::from_millis(100) && retry <= Duration::from_secs(2), "{retry:?}");
 }
 
 #[test]
-fn a_long_request_is_not_refused_for_its_own_length() {
+fn a_long_request_is_not_rejected_for_its_own_length() {
     let mut dispatcher = dispatcher(&engines(2), 1);
-    // One short request waits at each, so that something waits, though not for long.
+    // One short request waits at each engine, so that the wait is short but not zero.
     for _ in 0..2 {
         let short = request("llm", 500, 50);
         let target = target(dispatcher.choose(at(0), &short));
@@ -69,15 +69,15 @@
 }
 
 #[test]
-fn full_slots_of_plain_backends_queue_and_then_refuse() {
-    let mut dispatcher = dispatcher(&ledgers(2), 1);
-    let terms = RoutePolicy { slo: Duration::from_millis(100), idempotent: false, sticky: false };
-    let once = DispatchRequest { route: terms, ..request("ledger", 0, 0) };
+fn plain_backends_with_full_slots_queue_and_then_reject() {
+    let mut dispatcher = dispatcher(&plain_backends(2), 1);
+    let route = RoutePolicy { slo: Duration::from_millis(100), idempotent: false, sticky: false };
+    let request = DispatchRequest { route, ..request("ledger", 0, 0) };
     let mut sent = 0;
-    while let Choice::Send(target) = dispatcher.choose(at(1), &once) {
-        dispatcher.begin(at(1), target.backend, &once);
+    while let Choice::Send(target) = dispatcher.choose(at(1), &request) {
+        dispatcher.begin(at(1), target.backend, &request);
         sent += 1;
-        assert!(sent < 1000, "nothing is ever refused");
+        assert!(sent < 1000, "no request is rejected");
     }
-    assert!(sent > 12, "a few wait behind the slots: {sent}");
+    assert!(sent > 12, "only {sent} requests were accepted, which leaves none queued behind the 12 slots");
 }
--- a/crates/dispatch/tests/affinity.rs
+++ b/crates/dispatch/tests/affinity.rs
@@ -1,4 +1,4 @@
-//! Sessions find the same backend from every gateway, and another where that one is over.
+//! Prefix affinity: all gateways route a session to the same backend, and to another if that one is overloaded.
 
 #[path = "support/fixture.rs"]
 #[allow(dead_code)]
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 
 #[test]
-fn gateways_of_a_zone_send_a_session_to_the_same_backend() {
+fn gateways_in_a_zone_route_a_session_to_the_same_backend() {
     let view = engines(12);
     let mut gateways: Vec<Dispatcher> = (0..4).map(|seed| dispatcher(&view, seed)).collect();
     for session in 0..50 {
@@ -24,15 +24,15 @@
 }
 
 #[test]
-fn long_sessions_have_one_home_for_all_zones() {
+fn long_sessions_have_one_home_across_zones() {
     let view = engines(12);
-    let mut here = dispatcher(&view, 1);
-    let mut there = Dispatcher::new(DispatcherSettings::new("b"), 2);
-    there.update(at(0), &view);
+    let mut gateway_a = dispatcher(&view, 1);
+    let mut gateway_b = Dispatcher::new(DispatcherSettings::new("b"), 2);
+    gateway_b.update(at(0), &view);
     let same = (0..50).filter(|session| {
         let parts = session_parts(*session, 0);
         let request = session_request(&parts);
-        target(here.choose(at(1), &request)).id == target(there.choose(at(1), &request)).id
+        target(gateway_a.choose(at(1), &request)).id == target(gateway_b.choose(at(1), &request)).id
     });
     assert!(same.count() >= 45);
 }
@@ -47,31 +47,32 @@
 }
 
 #[test]
-fn a_session_comes_back_to_where_it_was_read() {
+fn a_session_returns_to_the_backend_that_cached_it() {
     let mut dispatcher = dispatcher(&engines(12), 1);
-    let home = play(&mut dispatcher, 0, &session_request(&session_parts(3, 0)), 80);
-    for turn in 1..20 {
-        let next = play(&mut dispatcher, turn * 500, &session_request(&session_parts(3, turn)), 40);
+    let home = send_and_complete(&mut dispatcher, 0, &session_request(&session_parts(3, 0)), 80);
+    for index in 1..20 {
+        let next =
+            send_and_complete(&mut dispatcher, index * 500, &session_request(&session_parts(3, index)), 40);
         assert_eq!(next.id, home.id);
     }
 }
 
 #[test]
-fn a_home_that_is_over_its_bound_gives_way_to_the_next() {
+fn an_overloaded_home_is_replaced_by_the_next_candidates() {
     let mut dispatcher = dispatcher(&engines(12), 1);
     let mut reached = BTreeSet::new();
-    for turn in 0..40 {
-        let parts = session_parts(3, turn);
+    for index in 0..40 {
+        let parts = session_parts(3, index);
         let request = session_request(&parts);
-        let target = target(dispatcher.choose(at(turn), &request));
-        dispatcher.begin(at(turn), target.backend, &request);
+        let target = target(dispatcher.choose(at(index), &request));
+        dispatcher.begin(at(index), target.backend, &request);
         reached.insert(target.backend);
     }
     assert!(reached.len() > 2, "{reached:?}");
 }
 
 #[test]
-fn a_backend_that_leaves_moves_its_own_sessions_only() {
+fn a_departing_backend_moves_only_its_own_sessions() {
     let mut view = engines(12);
     let mut dispatcher = dispatcher(&view, 1);
     let homes = |dispatcher: &mut Dispatcher, now_ms: u64| -> Vec<String> {
@@ -90,28 +91,29 @@
     }
 }
 
+/// With far more backends than the candidate limit, gateways still agree on the home of a session.
 #[test]
-fn candidates_are_bounded_where_backends_are_many() {
+fn gateways_agree_on_homes_among_many_backends() {
     let view = engines(3300);
-    let mut here = dispatcher(&view, 1);
-    let mut same_zone = dispatcher(&view, 2);
+    let mut first_gateway = dispatcher(&view, 1);
+    let mut second_gateway = dispatcher(&view, 2);
     for session in 0..100 {
         let parts = session_parts(session, 0);
         let request = session_request(&parts);
-        let first = target(here.choose(at(1), &request));
-        assert_eq!(first.id, target(same_zone.choose(at(1), &request)).id);
+        let first = target(first_gateway.choose(at(1), &request));
+        assert_eq!(first.id, target(second_gateway.choose(at(1), &request)).id);
     }
 }
 
 #[test]
-#[ignore = "prints the time of a choice among 3,300 backends"]
+#[ignore = "prints the time per request with 3,300 backends"]
 fn time_of_a_choice() {
     let mut dispatcher = dispatcher(&engines(3300), 1);
     let began = std::time::Instant::now();
     const COUNT: u64 = 20_000;
-    for turn in 0..COUNT {
-        let parts = session_parts(turn % 977, turn);
-        play(&mut dispatcher, turn * 5, &session_request(&parts), 4);
+    for index in 0..COUNT {
+        let parts = session_parts(index % 977, index);
+        send_and_complete(&mut dispatcher, index * 5, &session_request(&parts), 4);
     }
-    println!("{:?} for each request", began.elapsed() / COUNT as u32);
+    println!("{:?} per request", began.elapsed() / COUNT as u32);
 }
--- a/crates/dispatch/tests/balance.rs
+++ b/crates/dispatch/tests/balance.rs
@@ -5,8 +5,8 @@
 use crankpick_dispatch::*;
 use support::deployments::{large, small};
 use support::faults::{Faults, Outage};
-use support::fleet::simulate;
 use support::policies::{Baseline, BaselinePolicy, DispatcherPolicy, Policy};
+use support::simulation::simulate;
 use support::stats::RunStats;
 use support::traffic::{Deployment, Workload};
 
--- a/crates/dispatch/tests/mechanism.rs
+++ b/crates/dispatch/tests/mechanism.rs
@@ -1,4 +1,4 @@
-//! The design on the ordinary path: types reach their groups, light groups rotate, busy ones take the best fit.
+//! Backend selection without faults: type groups, round robin in lightly loaded groups and best fit in busy ones.
 
 #[path = "support/fixture.rs"]
 #[allow(dead_code)]
@@ -9,44 +9,45 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Light and heavy requests by turns, each answered before the next: nothing is ever busy.
-fn typed_traffic(dispatcher: &mut Dispatcher, from_ms: u64, count: u64) -> [BTreeMap<String, u32>; 2] {
+/// Sends light and heavy requests alternately, each after the previous one has completed, so that no backend is ever busy.
+/// Returns the number of requests per backend, for light and for heavy requests.
+fn send_mixed_requests(dispatcher: &mut Dispatcher, from_ms: u64, count: u64) -> [BTreeMap<String, u32>; 2] {
     let mut reached = [BTreeMap::new(), BTreeMap::new()];
-    for turn in 0..count {
-        let heavy = (turn % 2) as usize;
+    for index in 0..count {
+        let heavy = (index % 2) as usize;
         let lengths = [(400, 20), (4000, 200)][heavy];
         let request = request("llm", lengths.0, lengths.1);
-        let target = play(dispatcher, from_ms + turn * 20, &request, 10);
+        let target = send_and_complete(dispatcher, from_ms + index * 20, &request, 10);
         *reached[heavy].entry(target.id.to_string()).or_insert(0) += 1;
     }
     reached
 }
 
 #[test]
-fn types_reach_their_groups_sized_by_load() {
+fn request_types_use_disjoint_groups_sized_by_load() {
     let mut dispatcher = dispatcher(&engines(12), 7);
-    typed_traffic(&mut dispatcher, 0, 200);
-    let [light, heavy] = typed_traffic(&mut dispatcher, 4000, 400);
-    let of = |group: &BTreeMap<String, u32>| group.keys().cloned().collect::<BTreeSet<_>>();
-    assert!(of(&light).is_disjoint(&of(&heavy)), "{light:?} {heavy:?}");
-    assert!(of(&heavy).len() > of(&light).len(), "{light:?} {heavy:?}");
+    send_mixed_requests(&mut dispatcher, 0, 200);
+    let [light, heavy] = send_mixed_requests(&mut dispatcher, 4000, 400);
+    let ids = |group: &BTreeMap<String, u32>| group.keys().cloned().collect::<BTreeSet<_>>();
+    assert!(ids(&light).is_disjoint(&ids(&heavy)), "{light:?} {heavy:?}");
+    assert!(ids(&heavy).len() > ids(&light).len(), "{light:?} {heavy:?}");
 }
 
 #[test]
-fn until_traffic_is_known_one_group_holds_all() {
+fn all_types_share_one_group_until_traffic_is_known() {
     let mut dispatcher = dispatcher(&engines(6), 7);
-    let [light, heavy] = typed_traffic(&mut dispatcher, 0, 60);
+    let [light, heavy] = send_mixed_requests(&mut dispatcher, 0, 60);
     let all: BTreeSet<&String> = light.keys().chain(heavy.keys()).collect();
-    // Those of the own zone, in turn.
+    // The three backends in the gateway's zone, in rotation.
     assert_eq!(all.len(), 3);
 }
 
 #[test]
-fn a_light_group_rotates_evenly() {
+fn a_lightly_loaded_group_is_served_round_robin() {
     let mut dispatcher = dispatcher(&engines(8), 3);
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
-    for turn in 0..80 {
-        let target = play(&mut dispatcher, turn * 20, &request("llm", 500, 50), 10);
+    for index in 0..80 {
+        let target = send_and_complete(&mut dispatcher, index * 20, &request("llm", 500, 50), 10);
         *counts.entry(target.id.to_string()).or_insert(0) += 1;
     }
     let expected: Vec<u32> = vec![20; 4];
@@ -54,64 +55,65 @@
 }
 
 #[test]
-fn a_busy_group_takes_the_backend_with_most_room() {
-    let mut dispatcher = dispatcher(&ledgers(8), 3);
+fn a_busy_group_uses_the_backend_with_the_most_free_capacity() {
+    let mut dispatcher = dispatcher(&plain_backends(8), 3);
     let request = request("ledger", 0, 0);
-    let mut taken: BTreeMap<BackendKey, u32> = BTreeMap::new();
-    for turn in 0..12 {
-        let target = target(dispatcher.choose(at(turn), &request));
-        dispatcher.begin(at(turn), target.backend, &request);
-        *taken.entry(target.backend).or_insert(0) += 1;
+    let mut counts: BTreeMap<BackendKey, u32> = BTreeMap::new();
+    for index in 0..12 {
+        let target = target(dispatcher.choose(at(index), &request));
+        dispatcher.begin(at(index), target.backend, &request);
+        *counts.entry(target.backend).or_insert(0) += 1;
     }
-    // Four near backends: three each, by room.
-    assert_eq!(taken.into_values().collect::<Vec<_>>(), vec![3; 4]);
+    // Four backends in the gateway's zone receive three requests each.
+    assert_eq!(counts.into_values().collect::<Vec<_>>(), vec![3; 4]);
 }
 
 #[test]
-fn the_own_zone_is_kept_while_it_has_room_and_left_when_it_is_full() {
-    let view = ledgers(4);
+fn requests_stay_in_the_zone_until_its_backends_are_full() {
+    let view = plain_backends(4);
     let mut dispatcher = dispatcher(&view, 3);
     let request = request("ledger", 0, 0);
     let mut zones = Vec::new();
-    for turn in 0..20 {
-        let target = target(dispatcher.choose(at(turn), &request));
-        dispatcher.begin(at(turn), target.backend, &request);
-        let listed = view.backends.iter().find(|of| of.id == target.id).expect("it is listed");
-        zones.push(listed.zone.to_string());
+    for index in 0..20 {
+        let target = target(dispatcher.choose(at(index), &request));
+        dispatcher.begin(at(index), target.backend, &request);
+        let backend = view.backends.iter().find(|backend| backend.id == target.id);
+        let backend = backend.expect("the target is in the view");
+        zones.push(backend.zone.to_string());
     }
     assert!(zones[..6].iter().all(|zone| zone == "a"), "{zones:?}");
     assert!(zones.iter().any(|zone| zone == "b"), "{zones:?}");
 }
 
 #[test]
-fn draining_silent_and_gone_backends_leave_at_once() {
+fn draining_silent_and_gone_backends_receive_no_requests() {
     for state in [BackendState::Draining, BackendState::Silent, BackendState::Gone] {
         let mut view = engines(4);
         let mut dispatcher = dispatcher(&view, 5);
-        typed_traffic(&mut dispatcher, 0, 200);
+        send_mixed_requests(&mut dispatcher, 0, 200);
         view.backends[0].state = state;
         dispatcher.update(at(4000), &view);
-        let [light, heavy] = typed_traffic(&mut dispatcher, 4000, 200);
+        let [light, heavy] = send_mixed_requests(&mut dispatcher, 4000, 200);
         assert!(!light.contains_key("llm-0") && !heavy.contains_key("llm-0"), "{state:?}");
     }
 }
 
 #[test]
-fn a_backend_that_the_view_drops_gets_nothing_and_may_come_back() {
+fn a_backend_missing_from_the_view_receives_no_requests_until_it_returns() {
     let mut view = engines(4);
     let mut dispatcher = dispatcher(&view, 5);
     let dropped = view.backends.remove(2);
     dispatcher.update(at(10), &view);
-    let [light, heavy] = typed_traffic(&mut dispatcher, 20, 100);
+    let [light, heavy] = send_mixed_requests(&mut dispatcher, 20, 100);
     assert!(!light.contains_key("llm-2") && !heavy.contains_key("llm-2"));
     view.backends.push(dropped);
     dispatcher.update(at(200_000), &view);
-    let [light, heavy] = typed_traffic(&mut dispatcher, 200_010, 100);
+    let [light, heavy] = send_mixed_requests(&mut dispatcher, 200_010, 100);
     assert!(light.contains_key("llm-2") || heavy.contains_key("llm-2"));
 }
 
 #[test]
-fn silent_backends_serve_where_none_is_ready_but_never_draining_ones() {
+fn without_ready_backends_silent_ones_serve_but_draining_ones_do_not() {
     let mut view = engines(2);
     view.backends[0].state = BackendState::Silent;
     view.backends[1].state = BackendState::Draining;
@@ -124,28 +126,28 @@
 }
 
 #[test]
-fn what_was_tried_is_not_chosen_again() {
+fn a_tried_backend_is_not_selected_again() {
     let mut dispatcher = dispatcher(&engines(3), 5);
     let mut tried = Vec::new();
-    for turn in 0..3 {
-        let again = DispatchRequest { tried: &tried, ..request("llm", 500, 50) };
-        let target = target(dispatcher.choose(at(turn), &again));
+    for index in 0..3 {
+        let retry = DispatchRequest { tried: &tried, ..request("llm", 500, 50) };
+        let target = target(dispatcher.choose(at(index), &retry));
         assert!(!tried.contains(&target.backend));
         tried.push(target.backend);
     }
-    let again = DispatchRequest { tried: &tried, ..request("llm", 500, 50) };
-    assert_eq!(dispatcher.choose(at(9), &again), Choice::NoBackend);
+    let retry = DispatchRequest { tried: &tried, ..request("llm", 500, 50) };
+    assert_eq!(dispatcher.choose(at(9), &retry), Choice::NoBackend);
 }
 
 #[test]
-fn a_gateway_keeps_to_its_share_of_a_backends_connections() {
-    let mut view = ledgers(2);
+fn a_gateway_respects_its_share_of_the_connection_limit() {
+    let mut view = plain_backends(2);
     (view.gateways, view.services[0].max_conns) = (25, 100);
     let mut dispatcher = dispatcher(&view, 5);
     let request = request("ledger", 0, 0);
-    for turn in 0..8 {
-        let target = target(dispatcher.choose(at(turn), &request));
-        dispatcher.begin(at(turn), target.backend, &request);
+    for index in 0..8 {
+        let target = target(dispatcher.choose(at(index), &request));
+        dispatcher.begin(at(index), target.backend, &request);
     }
     assert!(matches!(dispatcher.choose(at(9), &request), Choice::Full { .. }));
 }
@@ -157,30 +159,30 @@
 }
 
 #[test]
-fn priorities_go_to_engines_alone() {
+fn only_engines_receive_the_priority_header() {
     let mut engines = dispatcher(&engines(2), 5);
     let urgent = DispatchRequest { priority: 12, ..request("llm", 500, 50) };
     assert_eq!(target(engines.choose(at(0), &urgent)).priority_header, Some(9));
-    let mut ledgers = dispatcher(&ledgers(2), 5);
-    assert_eq!(target(ledgers.choose(at(0), &request("ledger", 0, 0))).priority_header, None);
+    let mut plain = dispatcher(&plain_backends(2), 5);
+    assert_eq!(target(plain.choose(at(0), &request("ledger", 0, 0))).priority_header, None);
 }
 
 #[test]
-fn a_cold_backend_is_taken_to_be_slower() {
+fn a_backend_in_warm_up_counts_as_slower() {
     let mut view = engines(2);
     view.backends.iter_mut().for_each(|backend| backend.zone = "a".into());
     view.backends[0].warm_at = at(60_000);
     let mut dispatcher = dispatcher(&view, 5);
     let parts = [PromptPart { id: 9, tokens: 100 }];
-    // One part, its own: no home is known, so that the pace alone decides between the two.
-    let cold = (0..40).filter(|turn| {
-        let parts = [PromptPart { id: 100 + turn, ..parts[0] }];
+    // Each request has a single part of its own, so that only the assumed slowness distinguishes the two backends.
+    let sent_to_cold = (0..40).filter(|index| {
+        let parts = [PromptPart { id: 100 + index, ..parts[0] }];
         let request = DispatchRequest {
-            route: RoutePolicy { sticky: true, slo: Duration::from_millis(50), ..TERMS },
+            route: RoutePolicy { sticky: true, slo: Duration::from_millis(50), ..ROUTE },
             parts: &parts,
             ..request("llm", 6000, 50)
         };
-        &*target(dispatcher.choose(at(*turn), &request)).id == "llm-0"
+        &*target(dispatcher.choose(at(*index), &request)).id == "llm-0"
     });
-    assert!(cold.count() < 20);
+    assert!(sent_to_cold.count() < 20);
 }
--- a/crates/dispatch/tests/support/fixture.rs
+++ b/crates/dispatch/tests/support/fixture.rs
@@ -1,8 +1,9 @@
-//! A dispatcher, a view and a clock, for traces written out by hand.
+//! Fixtures for tests that drive a dispatcher with explicit requests and times.
 
 use crankpick_dispatch::*;
 use std::time::Duration;
 
+/// The time `ms` milliseconds after the start.
 pub fn at(ms: u64) -> Timestamp {
     Duration::from_millis(ms)
 }
@@ -28,14 +29,14 @@
     }
 }
 
-/// Engines in zones `a` and `b` by turns.
+/// Engines, alternately in zones `a` and `b`.
 pub fn engines(count: u16) -> FleetView {
     let backends = (0..count).map(|number| backend("llm", number, ["a", "b"][usize::from(number % 2)], 64));
     FleetView { services: vec![engine_service()], backends: backends.collect(), gateways: 4 }
 }
 
-/// Plain backends in zones `a` and `b` by turns.
-pub fn ledgers(count: u16) -> FleetView {
+/// Backends that are not engines, alternately in zones `a` and `b`.
+pub fn plain_backends(count: u16) -> FleetView {
     let backends = (0..count).map(|number| backend("ledger", number, ["a", "b"][usize::from(number % 2)], 6));
     FleetView { services: vec![plain_service()], backends: backends.collect(), gateways: 4 }
 }
@@ -46,14 +47,14 @@
     dispatcher
 }
 
-pub const TERMS: RoutePolicy =
+pub const ROUTE: RoutePolicy =
     RoutePolicy { slo: Duration::from_millis(500), sticky: false, idempotent: true };
 
-/// A request to `ledger` or, with lengths, to `llm`.
+/// A request to `ledger` or, with token counts, to `llm`.
 pub fn request(service: &str, prompt_tokens: u32, response_tokens: u32) -> DispatchRequest<'_> {
     DispatchRequest {
         service,
-        route: TERMS,
+        route: ROUTE,
         priority: 1,
         prompt_tokens,
         response_tokens,
@@ -65,39 +66,49 @@
     }
 }
 
-/// One of a session: what all share, what the session shares, its own.
-pub fn session_parts(session: u64, own: u64) -> [PromptPart; 3] {
+/// The prompt parts of a request in a session: one common to all sessions, one of the session, one of the request.
+pub fn session_parts(session: u64, request_number: u64) -> [PromptPart; 3] {
     [
         PromptPart { id: 1, tokens: 500 },
         PromptPart { id: 1000 + session, tokens: 4000 },
-        PromptPart { id: 1_000_000 + own, tokens: 1500 },
+        PromptPart { id: 1_000_000 + request_number, tokens: 1500 },
     ]
 }
 
 pub fn session_request<'a>(parts: &'a [PromptPart; 3]) -> DispatchRequest<'a> {
-    let route = RoutePolicy { sticky: true, ..TERMS };
+    let route = RoutePolicy { sticky: true, ..ROUTE };
     DispatchRequest { route, parts, ..request("llm", 6000, 300) }
 }
 
-/// The target of a choice.
+/// The target of a choice. Panics if no backend was selected.
 pub fn target(choice: Choice) -> Target {
     match choice {
         Choice::Send(target) => target,
-        other => panic!("no backend was chosen: {other:?}"),
+        other => panic!("no backend was selected: {other:?}"),
     }
 }
 
-/// Sends a request and has it answered `took_ms` later.
-pub fn play(dispatcher: &mut Dispatcher, now_ms: u64, request: &DispatchRequest, took_ms: u64) -> Target {
+/// Sends a request that completes after `elapsed_ms`.
+pub fn send_and_complete(
+    dispatcher: &mut Dispatcher,
+    now_ms: u64,
+    request: &DispatchRequest,
+    elapsed_ms: u64,
+) -> Target {
     let target = target(dispatcher.choose(at(now_ms), request));
     let ticket = dispatcher.begin(at(now_ms), target.backend, request);
-    dispatcher.first_event(at(now_ms + took_ms), ticket, None);
-    dispatcher.end(at(now_ms + took_ms), ticket, Outcome::Done);
+    dispatcher.first_event(at(now_ms + elapsed_ms), ticket, None);
+    dispatcher.end(at(now_ms + elapsed_ms), ticket, Outcome::Done);
     target
 }
 
-/// Sends a request that ends so.
-pub fn fail(dispatcher: &mut Dispatcher, now_ms: u64, request: &DispatchRequest, outcome: Outcome) -> Target {
+/// Sends a request that ends with this outcome after 1 ms.
+pub fn send_and_fail(
+    dispatcher: &mut Dispatcher,
+    now_ms: u64,
+    request: &DispatchRequest,
+    outcome: Outcome,
+) -> Target {
     let target = target(dispatcher.choose(at(now_ms), request));
     let ticket = dispatcher.begin(at(now_ms), target.backend, request);
     dispatcher.end(at(now_ms + 1), ticket, outcome);
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -3,8 +3,8 @@
 pub mod deployments;
 pub mod engine;
 pub mod faults;
-pub mod fleet;
 pub mod policies;
+pub mod simulation;
 pub mod stats;
 pub mod traffic;
 pub mod worker;
