--- a/crates/dispatch/tests/support/simulation.rs
+++ b/crates/dispatch/tests/support/simulation.rs
@@ -27,8 +27,8 @@
     Deliver(usize),
     EngineStepDone(usize, u32),
     WorkerDone(usize, usize),
-    FirstEvent(usize, LoadCounts),
-    StreamEvent(usize),
+    ResponseStarted(usize, LoadCounts),
+    StreamProgress(usize),
     ResponseDone(usize),
     /// 1 if the backend refused the request, 0 if it reset the connection.
     AttemptFailed(usize, u8),
@@ -222,8 +222,8 @@
             Event::Deliver(attempt) => self.deliver(attempt),
             Event::EngineStepDone(backend, incarnation) => self.engine_step_done(backend, incarnation),
             Event::WorkerDone(backend, attempt) => self.worker_done(backend, attempt),
-            Event::FirstEvent(attempt, load) => self.first_event(attempt, load),
-            Event::StreamEvent(attempt) => self.stream_event(attempt),
+            Event::ResponseStarted(attempt, load) => self.first_event(attempt, load),
+            Event::StreamProgress(attempt) => self.stream_event(attempt),
             Event::ResponseDone(attempt) => self.end(attempt, Outcome::Done),
             Event::AttemptFailed(attempt, refused) => {
                 let outcome = if refused == 1 { Outcome::Refused } else { Outcome::Reset };
@@ -391,9 +391,9 @@
                 + self.network_delay_us(self.attempts[id].gateway, backend_index);
             let event = match output {
                 StepOutput::FirstToken { load, .. } => {
-                    Event::FirstEvent(id, (load.running, load.waiting, load.slots))
+                    Event::ResponseStarted(id, (load.running, load.waiting, load.slots))
                 }
-                StepOutput::Event { .. } => Event::StreamEvent(id),
+                StepOutput::Event { .. } => Event::StreamProgress(id),
                 StepOutput::Done { .. } => Event::ResponseDone(id),
             };
             if matches!(output, StepOutput::FirstToken { .. }) {
@@ -418,7 +418,7 @@
         let network_delay_us = self.network_delay_us(self.attempts[attempt].gateway, backend_index);
         self.schedule(
             self.now_us + network_delay_us,
-            Event::FirstEvent(attempt, (load.running, load.waiting, load.slots)),
+            Event::ResponseStarted(attempt, (load.running, load.waiting, load.slots)),
         );
         self.schedule(self.now_us + network_delay_us, Event::ResponseDone(attempt));
         next.into_iter().for_each(|attempt| self.start_processing(backend_index, attempt));
