--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -10,8 +10,8 @@
 
 use crankpick_configuration::ClientLimits;
 use crankpick_http::framing::Framing;
-use crankpick_http::stall::Stall;
 use crankpick_http::stream::poll_write;
+use crankpick_http::write_timeout::WriteTimeout;
 use socket2::SockRef;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
@@ -167,12 +167,12 @@
 /// The bytes of a client's connection.
 pub(crate) struct ClientStream {
     client: Arc<Client>,
-    stall: Stall,
+    stall: WriteTimeout,
 }
 
 impl ClientStream {
     pub fn new(client: Arc<Client>) -> Self {
-        ClientStream { client, stall: Stall::new(UNREAD) }
+        ClientStream { client, stall: WriteTimeout::new(UNREAD) }
     }
 
     fn write(
@@ -181,7 +181,7 @@
         write: impl Fn(&TcpStream) -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
         let written = poll_write(&self.client.stream, cx, write);
-        let written = self.stall.wrote(cx, written);
+        let written = self.stall.check(cx, written);
         let was_behind = self.client.behind.swap(written.is_pending(), Ordering::Relaxed);
         if was_behind && written.is_ready() && self.client.idle_since().is_some() {
             // Its rest begins once it has caught up.
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crankpick_http::fields::end_to_end;
-use crankpick_http::framing::Came;
+use crankpick_http::framing::ReceivedRequest;
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HeaderValue, CONTENT_LENGTH, EXPECT, TRANSFER_ENCODING};
 use hyper::http::request::Parts as RequestParts;
@@ -35,12 +35,12 @@
 pub(crate) async fn answer(
     shared: &Arc<Shared>,
     request: Request<Incoming>,
-    came: Option<Came>,
+    came: Option<ReceivedRequest>,
 ) -> Result<Response<AnswerBody>, Declined> {
-    let arrived = came.and_then(|came| came.whole).unwrap_or_else(Instant::now);
+    let arrived = came.and_then(|came| came.complete_at).unwrap_or_else(Instant::now);
     let (head, body) = request.into_parts();
     // Such a length may hide a second request in the body; one that was not followed may as well.
-    let doubtful = came.is_none_or(|came| came.two_lengths) || two_lengths(&head.headers);
+    let doubtful = came.is_none_or(|came| came.conflicting_lengths) || two_lengths(&head.headers);
     if head.headers.contains_key(TRANSFER_ENCODING) && doubtful {
         return Err(Refusal::Framing.into());
     }
--- a/crates/gateway/src/wire.rs
+++ b/crates/gateway/src/wire.rs
@@ -9,7 +9,7 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-use crankpick_http::stall::Stall;
+use crankpick_http::write_timeout::WriteTimeout;
 use socket2::SockRef;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
@@ -47,13 +47,13 @@
 /// A connection to a backend.
 pub(crate) struct Wire {
     stream: TcpStream,
-    stall: Stall,
+    stall: WriteTimeout,
     link: Arc<Link>,
 }
 
 impl Wire {
     pub fn new(stream: TcpStream, link: Arc<Link>) -> Self {
-        Wire { stream, stall: Stall::new(UNREAD), link }
+        Wire { stream, stall: WriteTimeout::new(UNREAD), link }
     }
 
     /// Before a request's first byte on a kept connection: whatever came behind the last answer would pass for
@@ -72,7 +72,7 @@
         if matches!(written, Poll::Ready(Ok(1..))) {
             self.link.began.store(true, Ordering::Relaxed);
         }
-        self.stall.wrote(cx, written)
+        self.stall.check(cx, written)
     }
 }
 
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,19 +1,19 @@
-//! A body that holds something until its end.
+//! A body that keeps a guard until its end.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
 use http_body::{Body, Frame, SizeHint};
 
-/// Passes a body on, and drops `guard` with it: what comes after an answer's last byte, or its loss, stands in the
-/// guard's `Drop`.
+/// Forwards a body and drops `guard` with it: code that runs after the last byte, or when the body is
+/// abandoned, goes into the guard's `Drop`.
 pub struct Guarded<B, G> {
     body: B,
     _guard: G,
 }
 
 impl<B, G> Guarded<B, G> {
-    /// `body`, with what is to be dropped at its end.
+    /// Wraps `body`; `guard` is dropped together with it.
     pub fn new(body: B, guard: G) -> Self {
         Guarded { body, _guard: guard }
     }
--- a/crates/http/src/fields.rs
+++ b/crates/http/src/fields.rs
@@ -1,8 +1,8 @@
-//! Header fields that concern one hop only.
+//! Hop-by-hop header fields.
 
 use http::HeaderMap;
 
-/// What belongs to the connection it came on and not to the request.
+/// Fields that belong to one connection rather than to the request.
 const HOP_BY_HOP: [&str; 11] = [
     "connection",
     "content-length",
@@ -17,7 +17,7 @@
     "upgrade",
 ];
 
-/// The headers that go on: a hop's own stay behind, those that it names under `Connection` as well.
+/// The end-to-end headers: without hop-by-hop fields, including those named in `Connection`.
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let named = headers.get_all("connection").iter().filter_map(|value| value.to_str().ok());
     let named: Vec<&str> = named.flat_map(|value| value.split(',')).map(str::trim).collect();
--- a/crates/http/src/framing.rs
+++ b/crates/http/src/framing.rs
@@ -1,51 +1,52 @@
-//! Reads clients' requests beside hyper, for what hyper does not tell: that a length is given in two ways,
-//! since when a head is on its way, and when a pipelined request had come whole.
+//! Tracks the framing of client requests in parallel to hyper, for information that hyper does not provide:
+//! conflicting lengths, since when a request head has been incomplete, and when a pipelined request was
+//! complete.
 
 use std::collections::VecDeque;
 
 use tokio::time::Instant;
 
-/// hyper gives up on a head well before.
-const MOST_HELD: usize = 64 << 10;
-/// As many as hyper takes.
-const MOST_HEADERS: usize = 100;
+/// hyper rejects a head well before this size.
+const MAX_BUFFERED: usize = 64 << 10;
+/// hyper's limit.
+const MAX_HEADERS: usize = 100;
 
-/// What is known of one request.
+/// Framing information of one request.
 #[derive(Clone, Copy, Debug)]
-pub struct Came {
-    /// A `Content-Length` beside a `Transfer-Encoding`: a second request may hide in the body.
-    pub two_lengths: bool,
-    /// When its last byte came, where that was before it was looked at.
-    pub whole: Option<Instant>,
+pub struct ReceivedRequest {
+    /// Both `Content-Length` and `Transfer-Encoding` are present: a second request may hide in the body.
+    pub conflicting_lengths: bool,
+    /// When its last byte arrived, if that was before the request was taken by `next_request`.
+    pub complete_at: Option<Instant>,
 }
 
 #[derive(Debug, Default)]
-enum At {
+enum State {
     #[default]
     Head,
-    /// So many bytes of a body or a chunk, the line's end behind a chunk included.
-    Body(u64, Next),
-    Size,
+    /// Remaining bytes of a body or a chunk, including the line end behind a chunk.
+    Body(u64, AfterBody),
+    ChunkSize,
     Trailer,
-    /// hyper will not get past this either.
-    Lost,
+    /// Input that hyper rejects as well.
+    Invalid,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Next {
+enum AfterBody {
     Head,
-    Size,
+    ChunkSize,
 }
 
-/// The requests of one connection, as far as their bytes have come.
+/// Parser for the requests of one connection.
 #[derive(Debug, Default)]
 pub struct Framing {
-    at: At,
-    /// Lines that are not complete, or not all there.
-    held: Vec<u8>,
-    line: usize,
+    state: State,
+    /// Incomplete lines, and the lines of an incomplete head.
+    buffer: Vec<u8>,
+    line_start: usize,
     head_since: Option<Instant>,
-    came: VecDeque<Came>,
+    received: VecDeque<ReceivedRequest>,
 }
 
 impl Framing {
@@ -53,41 +54,41 @@
         Framing::default()
     }
 
-    /// Since when a head is on its way and not whole.
+    /// When the first byte of the current incomplete head arrived.
     pub fn head_since(&self) -> Option<Instant> {
         self.head_since
     }
 
     /// The next request, in the order in which hyper serves them.
-    pub fn next_request(&mut self) -> Option<Came> {
-        self.came.pop_front()
+    pub fn next_request(&mut self) -> Option<ReceivedRequest> {
+        self.received.pop_front()
     }
 
-    /// Takes in what came.
+    /// Parses received bytes.
     pub fn feed(&mut self, mut bytes: &[u8], now: Instant) {
         while !bytes.is_empty() {
-            match &mut self.at {
-                At::Lost => return,
-                At::Body(left, next) => {
+            match &mut self.state {
+                State::Invalid => return,
+                State::Body(left, next) => {
                     let taken = (*left).min(bytes.len() as u64);
                     (*left, bytes) = (*left - taken, &bytes[taken as usize..]);
                     if *left == 0 {
                         match *next {
-                            Next::Head => self.end(now),
-                            Next::Size => self.at = At::Size,
+                            AfterBody::Head => self.end_request(now),
+                            AfterBody::ChunkSize => self.state = State::ChunkSize,
                         }
                     }
                 }
-                At::Head | At::Size | At::Trailer => {
+                State::Head | State::ChunkSize | State::Trailer => {
                     let end = bytes.iter().position(|byte| *byte == b'\n').map(|place| place + 1);
                     let (part, rest) = bytes.split_at(end.unwrap_or(bytes.len()));
-                    self.held.extend_from_slice(part);
+                    self.buffer.extend_from_slice(part);
                     bytes = rest;
-                    if self.held.len() > MOST_HELD {
-                        self.at = At::Lost;
+                    if self.buffer.len() > MAX_BUFFERED {
+                        self.state = State::Invalid;
                     } else if end.is_some() {
-                        self.line(now);
-                    } else if matches!(self.at, At::Head) {
+                        self.end_line(now);
+                    } else if matches!(self.state, State::Head) {
                         self.head_since.get_or_insert(now);
                     }
                 }
@@ -95,62 +96,64 @@
         }
     }
 
-    /// A line has come whole.
-    fn line(&mut self, now: Instant) {
-        let blank = matches!(&self.held[self.line..], b"\n" | b"\r\n");
-        match self.at {
-            // Empty lines ahead of a head are no part of it.
-            At::Head if blank && self.line == 0 => self.held.clear(),
-            At::Head if blank => self.head(now),
-            At::Head => {
+    /// Handles a complete line.
+    fn end_line(&mut self, now: Instant) {
+        let blank = matches!(&self.buffer[self.line_start..], b"\n" | b"\r\n");
+        match self.state {
+            // Empty lines before a request line are ignored.
+            State::Head if blank && self.line_start == 0 => self.buffer.clear(),
+            State::Head if blank => self.parse_head(now),
+            State::Head => {
                 self.head_since.get_or_insert(now);
-                self.line = self.held.len();
+                self.line_start = self.buffer.len();
             }
-            At::Size => {
-                self.at = match httparse::parse_chunk_size(&self.held) {
-                    Ok(httparse::Status::Complete((_, 0))) => At::Trailer,
-                    Ok(httparse::Status::Complete((_, size))) => At::Body(size.saturating_add(2), Next::Size),
-                    _ => At::Lost,
+            State::ChunkSize => {
+                self.state = match httparse::parse_chunk_size(&self.buffer) {
+                    Ok(httparse::Status::Complete((_, 0))) => State::Trailer,
+                    Ok(httparse::Status::Complete((_, size))) => {
+                        State::Body(size.saturating_add(2), AfterBody::ChunkSize)
+                    }
+                    _ => State::Invalid,
                 };
-                self.held.clear();
+                self.buffer.clear();
             }
             _ => {
-                self.held.clear();
+                self.buffer.clear();
                 if blank {
-                    self.end(now);
+                    self.end_request(now);
                 }
             }
         }
     }
 
-    fn head(&mut self, now: Instant) {
-        let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    fn parse_head(&mut self, now: Instant) {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
-        if request.parse(&self.held).is_err() {
-            self.at = At::Lost;
+        if request.parse(&self.buffer).is_err() {
+            self.state = State::Invalid;
             return;
         }
         let named = |name| request.headers.iter().find(move |header| header.name.eq_ignore_ascii_case(name));
-        let (coded, length) = (named("transfer-encoding").is_some(), named("content-length"));
-        let two_lengths = coded && length.is_some();
+        let (chunked, length) = (named("transfer-encoding").is_some(), named("content-length"));
+        let conflicting_lengths = chunked && length.is_some();
         let length = length.and_then(|length| std::str::from_utf8(length.value).ok()?.trim().parse().ok());
-        self.at = match (coded, length) {
-            (true, _) => At::Size,
-            (false, Some(length)) => At::Body(length, Next::Head),
-            (false, None) => At::Body(0, Next::Head),
+        self.state = match (chunked, length) {
+            (true, _) => State::ChunkSize,
+            (false, Some(length)) => State::Body(length, AfterBody::Head),
+            (false, None) => State::Body(0, AfterBody::Head),
         };
-        (self.held, self.line, self.head_since) = (Vec::new(), 0, None);
-        self.came.push_back(Came { two_lengths, whole: None });
-        if matches!(self.at, At::Body(0, _)) {
-            self.end(now);
+        (self.buffer, self.line_start, self.head_since) = (Vec::new(), 0, None);
+        self.received.push_back(ReceivedRequest { conflicting_lengths, complete_at: None });
+        if matches!(self.state, State::Body(0, _)) {
+            self.end_request(now);
         }
     }
 
-    fn end(&mut self, now: Instant) {
-        self.at = At::Head;
-        // Where it was looked at before, whoever looked knows the end from its body.
-        if let Some(last) = self.came.back_mut() {
-            last.whole = Some(now);
+    fn end_request(&mut self, now: Instant) {
+        self.state = State::Head;
+        // If the request was taken before, its handler learns of the end from the body.
+        if let Some(last) = self.received.back_mut() {
+            last.complete_at = Some(now);
         }
     }
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,7 +1,7 @@
-//! What the proxy and the gateway share of HTTP/1.1 on sockets.
+//! HTTP/1.1 socket code shared by the proxy and the gateway.
 
 pub mod body;
 pub mod fields;
 pub mod framing;
-pub mod stall;
 pub mod stream;
+pub mod write_timeout;
--- a/crates/http/src/stream.rs
+++ b/crates/http/src/stream.rs
@@ -1,4 +1,4 @@
-//! A client's socket: written as far as it takes bytes, and ended in order.
+//! Writing to and closing client sockets.
 
 use std::io;
 use std::net::Shutdown;
@@ -9,13 +9,13 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long, and for how many bytes, a connection is read on behind its end: closed over unread bytes it would be
-/// reset, and what was last written to it lost.
+/// How long, and for how many bytes, a connection is read after its write side is closed: closing it with
+/// unread bytes would reset it and lose the last response.
 const LINGER: Duration = Duration::from_millis(250);
-const MOST_LINGERED: usize = 1 << 20;
-const PART: usize = 4 << 10;
+const MAX_LINGERED: usize = 1 << 20;
+const READ_CHUNK: usize = 4 << 10;
 
-/// Writes by `write` once the socket takes something.
+/// Calls `write` once the socket is writable.
 pub fn poll_write(
     stream: &TcpStream,
     cx: &mut Context<'_>,
@@ -24,25 +24,25 @@
     loop {
         ready!(stream.poll_write_ready(cx))?;
         match write(stream) {
-            Err(wrong) if wrong.kind() == io::ErrorKind::WouldBlock => {}
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             written => return Poll::Ready(written),
         }
     }
 }
 
-/// Says that no more is written, and reads on for a while until the other side says the same.
+/// Closes the write side, then reads for a while until the peer closes its own.
 pub async fn linger(stream: &TcpStream) {
     let _ = SockRef::from(stream).shutdown(Shutdown::Write);
-    let reads_on = async {
-        let (mut part, mut read) = ([0; PART], 0);
-        while read < MOST_LINGERED && stream.readable().await.is_ok() {
+    let drain = async {
+        let (mut part, mut read) = ([0; READ_CHUNK], 0);
+        while read < MAX_LINGERED && stream.readable().await.is_ok() {
             match stream.try_read(&mut part) {
                 Ok(0) => return,
                 Ok(length) => read += length,
-                Err(wrong) if wrong.kind() == io::ErrorKind::WouldBlock => {}
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(_) => return,
             }
         }
     };
-    let _ = timeout(LINGER, reads_on).await;
+    let _ = timeout(LINGER, drain).await;
 }
--- a/crates/http/src/stall.rs
+++ b/crates/http/src/write_timeout.rs
@@ -1,4 +1,4 @@
-//! Bounds how long a peer may take nothing of what is written to it.
+//! Bounds how long a peer may accept no written bytes.
 
 use std::future::Future;
 use std::io;
@@ -8,24 +8,25 @@
 
 use tokio::time::{sleep, Sleep};
 
-/// Ends a connection of which the other side takes nothing for too long.
-pub struct Stall {
-    most: Duration,
+/// Fails a write when the peer accepts nothing for too long.
+pub struct WriteTimeout {
+    limit: Duration,
     stalled: Option<Pin<Box<Sleep>>>,
 }
 
-impl Stall {
-    pub fn new(most: Duration) -> Self {
-        Stall { most, stalled: None }
+impl WriteTimeout {
+    pub fn new(limit: Duration) -> Self {
+        WriteTimeout { limit, stalled: None }
     }
 
-    /// To be handed what each write came to; turns one that pends for too long into an error.
-    pub fn wrote<T>(&mut self, cx: &mut Context<'_>, written: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
+    /// Must be called with the result of each write; turns one that has been pending for too long into an
+    /// error.
+    pub fn check<T>(&mut self, cx: &mut Context<'_>, written: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
         if written.is_ready() {
             self.stalled = None;
             return written;
         }
-        let stalled = self.stalled.get_or_insert_with(|| Box::pin(sleep(self.most)));
+        let stalled = self.stalled.get_or_insert_with(|| Box::pin(sleep(self.limit)));
         stalled.as_mut().poll(cx).map(|()| Err(io::ErrorKind::TimedOut.into()))
     }
 }
--- a/crates/proxy/src/backends.rs
+++ b/crates/proxy/src/backends.rs
@@ -1,4 +1,4 @@
-//! Carries executions to backends by hyper-util's client and tells how each ended.
+//! Runs executions on backends with the hyper-util client and reports how each ended.
 
 use std::error::Error;
 use std::future::Future;
@@ -23,34 +23,37 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 
-use crate::bodies::{Answer, Broken, Payload, Pool, SHORT};
-use crate::connect::{Connector, Link, OverBudget};
-use crate::places::Places;
+use crate::bodies::{Answer, BodyError, Payload, Pool, MAX_BUFFERED};
+use crate::connect::{Connector, OverBudget, TrackedConnection};
+use crate::endpoints::Endpoints;
 
-/// Longer ones tell no more than that it has not answered.
-const PROBE: Duration = Duration::from_millis(500);
+/// Timeout of a probe; waiting longer would only show that the backend does not answer.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Before its time is up an answer that may be long goes on as far as it is there.
-const CLOSE: Duration = Duration::from_millis(30);
+/// A response of unknown length is no longer buffered this long before its deadline, but streamed from what has
+/// arrived.
+const STREAM_MARGIN: Duration = Duration::from_millis(30);
 
-/// The share of dead ones among kept connections from which a new one is worth its price to a request that
-/// can't be sent again.
-const OFTEN: f64 = 0.01;
-/// A backend's word on the moment, not on the query.
-const OF_THE_MOMENT: [StatusCode; 2] = [StatusCode::REQUEST_TIMEOUT, StatusCode::TOO_MANY_REQUESTS];
+/// Fraction of pooled connections found stale above which a request that can't be retried gets a new connection
+/// in spite of its cost.
+const STALE_THRESHOLD: f64 = 0.01;
+/// Client errors that describe the backend's current state, not the query.
+const TEMPORARY_ERRORS: [StatusCode; 2] = [StatusCode::REQUEST_TIMEOUT, StatusCode::TOO_MANY_REQUESTS];
 
 pub struct Backends {
     client: Client<Connector, Body>,
     connector: Connector,
     answers: Arc<Pool>,
-    /// The share of kept connections found dead by the last few dozen executions on one.
+    /// Moving average of the fraction of stale pooled connections, over the last few dozen executions on pooled
+    /// connections.
     stale: Mutex<f64>,
     fresh: AtomicU64,
-    places: Arc<Places>,
+    endpoints: Arc<Endpoints>,
 }
 
-/// What an execution came to. There is an answer where it completed, or where none would.
-pub struct Heard {
+/// Result of an execution. `answer` is set if it completed, or if no other backend would accept the query
+/// either.
+pub struct ExecutionOutcome {
     pub ended: Ended,
     pub took_us: u64,
     pub report: Option<LoadReport>,
@@ -65,207 +68,236 @@
         idle_close: Duration,
         right: Option<Right>,
     ) -> Self {
-        // The client lets go of an idle connection before it ends itself, and that before the backend
-        // would: so none ends under a request that was just written to it.
+        // The client drops idle connections before they close themselves, and both happen before the backend
+        // would close them, so that no connection ends under a request that was just written to it.
         let connector = Connector::new(budget, connect_timeout, idle_close.mul_f64(0.85), right);
-        let places = Arc::clone(&connector.places);
+        let endpoints = Arc::clone(&connector.endpoints);
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .pool_idle_timeout(idle_close.mul_f64(0.8))
             .retry_canceled_requests(false)
-            .http1_max_buf_size(SHORT)
+            .http1_max_buf_size(MAX_BUFFERED)
             .build(connector.clone());
-        Backends { client, connector, answers, stale: Mutex::default(), fresh: AtomicU64::default(), places }
+        Backends {
+            client,
+            connector,
+            answers,
+            stale: Mutex::default(),
+            fresh: AtomicU64::default(),
+            endpoints,
+        }
     }
 
-    pub async fn leave_room(self: Arc<Self>, others: watch::Receiver<usize>, budget: usize) {
-        self.connector.leave_room(others, budget).await;
+    pub async fn share_with(self: Arc<Self>, others: watch::Receiver<usize>, budget: usize) {
+        self.connector.share_with(others, budget).await;
     }
 
-    pub fn places(&self) -> &Places {
-        &self.places
+    pub fn endpoints(&self) -> &Endpoints {
+        &self.endpoints
     }
 
-    /// Nothing of it stays: whoever comes to its address next is a stranger.
+    /// Drops all state and connections of a backend: its address may be reused by another one.
     pub fn forget(&self, backend: u32) {
-        self.places.forget(backend);
-        self.connector.end_all(backend);
+        self.endpoints.forget(backend);
+        self.connector.close_all(backend);
     }
 
-    /// What a request's way to its backend takes at the most: half of what a connection may, coming up.
-    pub fn way_there(&self) -> Duration {
+    /// Upper bound for the time a request takes to reach its backend: half of the connect timeout.
+    pub fn max_send_delay(&self) -> Duration {
         self.connector.timeout() / 2
     }
 
-    /// Takes down whether a kept connection was dead.
-    fn found(&self, stale: bool) {
+    /// Updates the stale fraction with one use of a pooled connection.
+    fn record_reuse(&self, stale: bool) {
         let mut share = self.stale.lock().unwrap_or_else(PoisonError::into_inner);
         *share += (f64::from(u8::from(stale)) - *share) / 64.0;
     }
 
-    /// A connection of its own for a request, where it must have one or kept ones are often dead.
+    /// Returns the number of a new connection if the request needs one of its own (`must`), or if pooled ones
+    /// are often stale.
     fn fresh(&self, must: bool) -> Option<u64> {
-        let often = *self.stale.lock().unwrap_or_else(PoisonError::into_inner) > OFTEN;
+        let often = *self.stale.lock().unwrap_or_else(PoisonError::into_inner) > STALE_THRESHOLD;
         (must || often).then(|| self.fresh.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// One execution, to its end, or past what is kept whole of its answer. Dropped before, it closes its
-    /// connection. What has but one chance does not take a kept connection while these are often dead; what is
-    /// passed on as it comes takes none, since it could not follow on another connection.
-    /// Until its first byte is written it ends unsent where it is no longer `wanted`, or its backend is out of
-    /// bounds: it may wait for a descriptor or a connection while its client goes or news come.
+    /// Runs one execution until its response is complete, or has exceeded the buffer and is streamed. Dropping
+    /// the future before that closes the connection. A request that can't be retried avoids pooled connections
+    /// while these are often stale; a streamed body never uses one, since it could not be repeated on another
+    /// connection.
+    /// Until its first byte is written the execution ends as `NotSent` once it is `unwanted` or its backend
+    /// becomes unavailable: it may wait for a descriptor or a connection while its client disconnects or the
+    /// list changes.
     pub async fn execute(
         self: Arc<Self>,
         backend: u32,
         head: Arc<Parts>,
         wait: Duration,
-        one_chance: bool,
+        not_retryable: bool,
         payload: Payload,
         body: impl Fn() -> Body,
         too_late: impl Future<Output = ()>,
         unwanted: impl Future<Output = ()>,
-    ) -> Heard {
+    ) -> ExecutionOutcome {
         let sent = Instant::now();
         let under_way: Mutex<Option<CaptureConnection>> = Mutex::default();
         let begun = || {
             let under_way = under_way.lock().unwrap_or_else(PoisonError::into_inner);
-            under_way.as_ref().and_then(link).is_some_and(|link| link.begun())
+            under_way.as_ref().and_then(tracked).is_some_and(|tracked| tracked.begun())
         };
-        let place = self.places.open(backend);
-        let heard = async {
+        let endpoint = self.endpoints.available_address(backend);
+        let outcome = async {
             loop {
-                let open = place.filter(|place| self.places.open(backend) == Some(*place));
+                let open =
+                    endpoint.filter(|endpoint| self.endpoints.available_address(backend) == Some(*endpoint));
                 let address = open.filter(|_| self.connector.may_send()).ok_or(Ended::NotSent)?;
-                let left = if payload.passing() { wait } else { wait.saturating_sub(sent.elapsed()) };
-                let fresh =
-                    (one_chance || payload.passing()).then(|| self.fresh(payload.passing())).flatten();
-                let request = outgoing(backend, fresh, address, &head, body(), left);
+                let left = if payload.is_streamed() { wait } else { wait.saturating_sub(sent.elapsed()) };
+                let fresh = (not_retryable || payload.is_streamed())
+                    .then(|| self.fresh(payload.is_streamed()))
+                    .flatten();
+                let request = backend_request(backend, fresh, address, &head, body(), left);
                 let mut request = request.ok_or(Ended::NotSent)?;
                 let connection = capture_connection(&mut request);
                 under_way.lock().unwrap_or_else(PoisonError::into_inner).replace(connection.clone());
                 let answer = self.client.request(request).await;
-                let link = link(&connection);
-                if link.as_deref().is_some_and(Link::kept) {
-                    self.found(answer.is_err() && link.as_deref().is_some_and(Link::unanswered));
+                let tracked = tracked(&connection);
+                if tracked.as_deref().is_some_and(TrackedConnection::reused) {
+                    self.record_reuse(
+                        answer.is_err() && tracked.as_deref().is_some_and(TrackedConnection::has_no_answer),
+                    );
                 }
                 match answer {
                     Ok(answer) => {
-                        let until = payload.gone_at().unwrap_or(sent) + wait.saturating_sub(CLOSE);
-                        return read(answer, &self.answers, link, until).await;
+                        let until = payload.sent_at().unwrap_or(sent) + wait.saturating_sub(STREAM_MARGIN);
+                        return read_response(answer, &self.answers, tracked, until).await;
+                    }
+                    // Retry on another connection: this one was made unusable by an earlier request.
+                    Err(_) if tracked.as_deref().is_some_and(TrackedConnection::unusable_before_use) => {}
+                    Err(_) if !begun() && self.endpoints.available_address(backend) != endpoint => {
+                        return Err(Ended::NotSent)
+                    }
+                    Err(error) => {
+                        return Err(classify_failure(&error, tracked.as_deref(), payload.max_unsent_bytes()))
                     }
-                    // Another connection: what the last request left behind is not this one's fault.
-                    Err(_) if link.as_deref().is_some_and(Link::spent_unused) => {}
-                    Err(_) if !begun() && self.places.open(backend) != place => return Err(Ended::NotSent),
-                    Err(wrong) => return Err(why_no_answer(&wrong, link.as_deref(), payload.surely())),
                 }
             }
         };
-        // A long body has no total time: what the client waits counts from its end.
-        let late = async { sleep_until(payload.gone().await.unwrap_or(sent) + wait).await };
+        // A streamed body has no total timeout: the client's wait counts from the end of the body.
+        let deadline = async { sleep_until(payload.sent().await.unwrap_or(sent) + wait).await };
         let unfinished = async {
             too_late.await;
-            if !payload.passing() || payload.gone_at().is_some() {
+            if !payload.is_streamed() || payload.sent_at().is_some() {
                 std::future::pending::<()>().await;
             }
         };
-        let unbegun = async {
-            let shut = async {
-                match place {
-                    Some(place) => self.places.shut(backend, place).await,
+        let not_begun = async {
+            let unavailable = async {
+                match endpoint {
+                    Some(endpoint) => self.endpoints.unavailable(backend, endpoint).await,
                     None => std::future::pending().await,
                 }
             };
             tokio::select! {
                 () = unwanted => {}
-                () = shut => {}
+                () = unavailable => {}
             }
-            // What has begun goes on, and stands under the rules on repeats.
+            // An execution that has begun continues; the retry rules apply to it.
             if begun() {
                 std::future::pending::<()>().await;
             }
         };
-        let heard = tokio::select! {
+        let outcome = tokio::select! {
             biased;
-            () = unbegun => Err(Ended::NotSent),
-            heard = heard => heard,
-            () = late => Err(Ended::TimedOut),
-            // It has not gone whole, so it never ran.
+            () = not_begun => Err(Ended::NotSent),
+            outcome = outcome => outcome,
+            () = deadline => Err(Ended::TimedOut),
+            // The request was not sent completely, so it was not executed.
             () = unfinished => Err(Ended::NotSent),
         };
-        let since = payload.gone_at().unwrap_or(sent);
-        let (ended, report, answer) = heard.unwrap_or_else(|ended| (ended, None, None));
-        Heard { ended, took_us: since.elapsed().as_micros() as u64, report, answer }
+        let since = payload.sent_at().unwrap_or(sent);
+        let (ended, report, answer) = outcome.unwrap_or_else(|ended| (ended, None, None));
+        ExecutionOutcome { ended, took_us: since.elapsed().as_micros() as u64, report, answer }
     }
 
-    /// Asks a backend for no more than a sign of life and its load report: a request without an id, which
-    /// none takes for a query. What would be passed on as an answer is the sign, a 404 too.
-    pub async fn probe(self: Arc<Self>, backend: u32, path: Uri) -> Heard {
+    /// Checks that a backend responds and reads its load report. The request has no id, so no backend takes it
+    /// for a query. Any response that would be passed on counts as alive, including a 404.
+    pub async fn probe(self: Arc<Self>, backend: u32, path: Uri) -> ExecutionOutcome {
         let mut request = Request::new(());
         *request.uri_mut() = path;
         let head = Arc::new(request.into_parts().0);
-        let nothing = Payload::Whole(Bytes::new(), Arc::default());
+        let nothing = Payload::Buffered(Bytes::new(), Arc::default());
         let pending = std::future::pending::<()>;
-        let heard =
-            self.execute(backend, head, PROBE, false, nothing, Body::empty, pending(), pending()).await;
-        let answered = heard.answer.is_some();
-        Heard { ended: if answered { Ended::Completed } else { heard.ended }, answer: None, ..heard }
+        let outcome = self
+            .execute(backend, head, PROBE_TIMEOUT, false, nothing, Body::empty, pending(), pending())
+            .await;
+        let answered = outcome.answer.is_some();
+        ExecutionOutcome {
+            ended: if answered { Ended::Completed } else { outcome.ended },
+            answer: None,
+            ..outcome
+        }
     }
 }
 
-/// The connection that a request was given, if it got that far.
-fn link(connection: &CaptureConnection) -> Option<Arc<Link>> {
+/// The connection that a request was assigned, if it got that far.
+fn tracked(connection: &CaptureConnection) -> Option<Arc<TrackedConnection>> {
     let connected = connection.connection_metadata();
     let mut extras = axum::http::Extensions::new();
     connected.as_ref()?.get_extras(&mut extras);
-    extras.remove::<Arc<Link>>()
+    extras.remove::<Arc<TrackedConnection>>()
 }
 
-/// No answer came: only what surely never was written whole counts as never run.
-fn why_no_answer(wrong: &ClientError, link: Option<&Link>, surely: usize) -> Ended {
-    let mut source = wrong.source();
+/// Classifies a missing response: only a request that was certainly not sent completely counts as not executed.
+fn classify_failure(
+    error: &ClientError,
+    tracked: Option<&TrackedConnection>,
+    max_unsent_bytes: usize,
+) -> Ended {
+    let mut source = error.source();
     while let Some(cause) = source {
-        // No backend's fault: no descriptor here, or no more of the body.
-        if cause.is::<OverBudget>() || cause.is::<Broken>() && surely == usize::MAX {
+        // Not the backend's fault: no local descriptor was available, or the client's body ended early.
+        if cause.is::<OverBudget>() || cause.is::<BodyError>() && max_unsent_bytes == usize::MAX {
             return Ended::NotSent;
         }
         source = cause.source();
     }
-    match link {
+    match tracked {
         None => Ended::Unreachable,
-        Some(link) if link.wrote_less_than(surely) => Ended::Unreachable,
-        Some(link) if link.kept() && link.unanswered() => Ended::Stale,
+        Some(tracked) if tracked.wrote_less_than(max_unsent_bytes) => Ended::Unreachable,
+        Some(tracked) if tracked.reused() && tracked.has_no_answer() => Ended::Stale,
         Some(_) => Ended::Dropped,
     }
 }
 
-type Read = (Ended, Option<LoadReport>, Option<Response<Body>>);
+type ReadResult = (Ended, Option<LoadReport>, Option<Response<Body>>);
 
-async fn read(
+async fn read_response(
     answer: Response<Incoming>,
     pool: &Pool,
-    link: Option<Arc<Link>>,
+    tracked: Option<Arc<TrackedConnection>>,
     until: Instant,
-) -> Result<Read, Ended> {
-    let execution = link.as_deref().map(Link::execution);
+) -> Result<ReadResult, Ended> {
+    let execution = tracked.as_deref().map(TrackedConnection::execution);
     let (head, body) = answer.into_parts();
     let never_ran = head.headers.get("x-not-run").is_some_and(|value| value == "1");
     let ended = match head.status {
         StatusCode::OK => Ended::Completed,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => Ended::Rejected,
-        // The query's own fault: no other backend would take it, and it says nothing about this one.
-        status if status.is_client_error() && !OF_THE_MOMENT.contains(&status) => Ended::Cancelled,
+        // An error of the query itself: other backends would reject it too, and it says nothing about this one.
+        status if status.is_client_error() && !TEMPORARY_ERRORS.contains(&status) => Ended::Cancelled,
         _ => Ended::Errored,
     };
     let report = load_report(&head.headers);
-    // One that is said to be too long is not worth reading.
+    // A response whose declared length exceeds the limit is not read.
     let answer = Answer::read(Body::new(body), pool, until).await.map_err(|_| Ended::Dropped)?;
-    // Past what is kept whole it ends by standing still where more is asked for, not by a pause.
-    match (answer.whole(), link.as_deref().zip(execution)) {
-        (true, Some((link, execution))) => link.rest(execution),
-        (false, Some((link, _))) => link.flow(),
+    // Beyond the buffer a response times out when it makes no progress although more is requested, not when the
+    // client pauses.
+    match (answer.whole(), tracked.as_deref().zip(execution)) {
+        (true, Some((tracked, execution))) => tracked.set_idle(execution),
+        (false, Some((tracked, _))) => tracked.set_streaming(),
         (_, None) => {}
     }
-    let rest = move || link.iter().zip(execution).for_each(|(link, execution)| link.rest(execution));
+    let rest =
+        move || tracked.iter().zip(execution).for_each(|(tracked, execution)| tracked.set_idle(execution));
     let answer = matches!(ended, Ended::Completed | Ended::Cancelled).then(|| {
         let mut passed = Response::new(answer.body(rest));
         *passed.status_mut() = head.status;
@@ -275,7 +307,7 @@
     Ok((ended, report, answer))
 }
 
-/// `X-Load: inflight=7,queue=2,util=0.61`; fields that no decision needs are skipped.
+/// Parses `X-Load: inflight=7,queue=2,util=0.61`; fields that the balancer doesn't use are ignored.
 fn load_report(headers: &HeaderMap) -> Option<LoadReport> {
     let fields = headers.get("x-load")?.to_str().ok()?;
     let mut report = LoadReport::default();
@@ -291,8 +323,8 @@
     Some(report)
 }
 
-/// The request as the backend gets it: method, path, query and body as the bytes that came.
-fn outgoing(
+/// Builds the backend request: method, path, query and body exactly as received.
+fn backend_request(
     backend: u32,
     fresh: Option<u64>,
     address: SocketAddr,
@@ -302,12 +334,13 @@
 ) -> Option<Request<Body>> {
     let mut uri = head.uri.clone().into_parts();
     uri.scheme = Some(Scheme::HTTP);
-    // The client keeps connections apart by this: none is handed on to another backend at the same address.
-    let place = match fresh {
+    // The client pools connections by authority: with the backend's number in it, a connection is never reused
+    // for another backend at the same address.
+    let endpoint = match fresh {
         Some(number) => format!("{backend}-{number}@{address}"),
         None => format!("{backend}@{address}"),
     };
-    uri.authority = Some(Authority::try_from(place).ok()?);
+    uri.authority = Some(Authority::try_from(endpoint).ok()?);
     let mut request = Request::new(body);
     *request.method_mut() = head.method.clone();
     *request.uri_mut() = Uri::from_parts(uri).ok()?;
--- a/crates/proxy/src/bodies.rs
+++ b/crates/proxy/src/bodies.rs
@@ -1,5 +1,4 @@
-//! Bodies and answers: what is short is kept whole, what is longer passed on as it comes, and all of it in
-//! bounded memory.
+//! Request and response bodies: short ones are buffered, longer ones streamed, all within a memory limit.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -13,115 +12,120 @@
 use tokio::sync::{watch, OwnedSemaphorePermit, Semaphore};
 use tokio::time::{sleep, timeout, timeout_at, Instant, Sleep};
 
-use crate::share::halve;
-
-/// What is kept whole, of a query's body and of an answer.
-pub const SHORT: usize = 64 << 10;
-/// What nobody may send more of.
-pub const MOST: u64 = 40 << 20;
-/// What takes no place in the pool.
-const SMALL: usize = 16 << 10;
-/// Places in the pool, each worth `SMALL`, for what is kept whole and for what flows through: its first part
-/// and the buffers to either side.
-const KEPT: u32 = 4;
-const FLOWING: u32 = 12;
-/// Of the memory, for each direction.
-const POOL: usize = 4;
-/// How long a client's body, or an answer that flows through, may stand still.
-const CLIENT_STILL: Duration = Duration::from_millis(2_500);
-const BACKEND_STILL: Duration = Duration::from_secs(2);
-/// Against bodies that trickle for ever: half of the slowest sound client's.
-const LEAST_PER_S: f64 = 32_768.0;
-
-/// Why a body ended before its end.
+use crate::permits::cede_half;
+
+/// Maximum size that is buffered, for request and response bodies.
+pub const MAX_BUFFERED: usize = 64 << 10;
+/// Maximum size of any body.
+pub const MAX_BODY: u64 = 40 << 20;
+/// Bodies up to this size take no permit of the pool.
+const UNPOOLED: usize = 16 << 10;
+/// Pool permits, each worth `UNPOOLED` bytes, for a buffered body and for a streamed one: its first part and the
+/// buffers on both sides.
+const BUFFERED_PERMITS: u32 = 4;
+const STREAMED_PERMITS: u32 = 12;
+/// Each direction's pool gets the memory divided by this.
+const POOL_DIVISOR: usize = 4;
+/// How long a client's body, or a streamed response, may make no progress.
+const CLIENT_STALL_TIMEOUT: Duration = Duration::from_millis(2_500);
+const BACKEND_STALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Minimum rate of a client's body, against bodies that trickle forever: half of the slowest legitimate
+/// client's.
+const MIN_BYTES_PER_S: f64 = 32_768.0;
+
+/// Why a body ended early.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Broken {
-    Off,
-    Still,
+pub enum BodyError {
+    Aborted,
+    TimedOut,
     TooLong,
-    /// An execution before this one had more of it than is kept.
-    Gone,
-    /// There is no memory for it.
-    NoRoom,
+    /// A previous execution has consumed bytes that are no longer buffered.
+    Consumed,
+    /// No buffer memory is available.
+    OutOfMemory,
 }
 
-impl std::fmt::Display for Broken {
+impl std::fmt::Display for BodyError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         f.write_str(match self {
-            Broken::Off => "the body broke off",
-            Broken::Still => "the body did not come in time",
-            Broken::TooLong => "the body is too long",
-            Broken::Gone => "the body has gone elsewhere",
-            Broken::NoRoom => "no memory for the body",
+            BodyError::Aborted => "the body broke off",
+            BodyError::TimedOut => "the body did not come in time",
+            BodyError::TooLong => "the body is too long",
+            BodyError::Consumed => "the body has gone elsewhere",
+            BodyError::OutOfMemory => "no memory for the body",
         })
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for BodyError {}
 
-/// The memory for what is not small.
+/// Memory for bodies larger than `UNPOOLED`.
 pub struct Pool {
-    places: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
     whole: usize,
 }
 
 impl Pool {
     pub fn new(memory: usize) -> Self {
-        let whole = (memory / POOL / SMALL).max(2 * (KEPT + FLOWING) as usize);
-        Pool { places: Arc::new(Semaphore::new(whole)), whole }
+        let whole =
+            (memory / POOL_DIVISOR / UNPOOLED).max(2 * (BUFFERED_PERMITS + STREAMED_PERMITS) as usize);
+        Pool { permits: Arc::new(Semaphore::new(whole)), whole }
     }
 
-    pub async fn leave_room(self: Arc<Self>, others: watch::Receiver<usize>) {
-        halve(others, Arc::clone(&self.places), self.whole, || ()).await;
+    pub async fn share_with(self: Arc<Self>, others: watch::Receiver<usize>) {
+        cede_half(others, Arc::clone(&self.permits), self.whole, || ()).await;
     }
 
-    async fn take(&self, places: u32, within: Duration) -> Result<OwnedSemaphorePermit, Broken> {
-        let taken = timeout(within, Arc::clone(&self.places).acquire_many_owned(places)).await;
-        taken.ok().and_then(Result::ok).ok_or(Broken::NoRoom)
+    async fn take(&self, permits: u32, within: Duration) -> Result<OwnedSemaphorePermit, BodyError> {
+        let taken = timeout(within, Arc::clone(&self.permits).acquire_many_owned(permits)).await;
+        taken.ok().and_then(Result::ok).ok_or(BodyError::OutOfMemory)
     }
 }
 
-/// One side's bytes as they come, held to making progress.
-struct Source {
+/// Reads a body and enforces progress.
+struct BodyReader {
     body: Body,
-    still: Duration,
-    least_per_s: f64,
-    came: u64,
+    stall_timeout: Duration,
+    min_bytes_per_s: f64,
+    received: u64,
     waited: Duration,
-    /// How long it was not read for want of memory.
-    held_up: Duration,
-    /// Since when it stands still, and until when it may. Whoever can't take more does not ask.
-    stands: Option<(Instant, Pin<Box<Sleep>>)>,
+    /// How long reading was delayed for lack of memory.
+    memory_wait: Duration,
+    /// When the current pause began and the timer that bounds it. A pause of the consumer does not count: it
+    /// does not poll.
+    stall: Option<(Instant, Pin<Box<Sleep>>)>,
 }
 
-impl Source {
-    fn new(body: Body, still: Duration, least_per_s: f64) -> Self {
-        let (waited, held_up) = (Duration::ZERO, Duration::ZERO);
-        Source { body, still, least_per_s, came: 0, waited, held_up, stands: None }
+impl BodyReader {
+    fn new(body: Body, stall_timeout: Duration, min_bytes_per_s: f64) -> Self {
+        let (waited, memory_wait) = (Duration::ZERO, Duration::ZERO);
+        BodyReader { body, stall_timeout, min_bytes_per_s, received: 0, waited, memory_wait, stall: None }
     }
 
-    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
+    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         loop {
             let frame = Pin::new(&mut self.body).poll_frame(cx);
             let Poll::Ready(frame) = frame else {
-                let still = self.still;
-                let stands = self.stands.get_or_insert_with(|| (Instant::now(), Box::pin(sleep(still))));
-                return stands.1.as_mut().poll(cx).map(|()| Some(Err(Broken::Still)));
+                let stall_timeout = self.stall_timeout;
+                let stall =
+                    self.stall.get_or_insert_with(|| (Instant::now(), Box::pin(sleep(stall_timeout))));
+                return stall.1.as_mut().poll(cx).map(|()| Some(Err(BodyError::TimedOut)));
             };
-            if let Some((since, _)) = self.stands.take() {
+            if let Some((since, _)) = self.stall.take() {
                 self.waited += since.elapsed();
             }
             return Poll::Ready(match frame {
                 None => None,
-                Some(Err(_)) => Some(Err(Broken::Off)),
+                Some(Err(_)) => Some(Err(BodyError::Aborted)),
                 Some(Ok(frame)) => {
-                    // Trailers stay behind: they belong to the hop that they came on.
+                    // Trailers are not forwarded: they belong to one hop.
                     let Ok(data) = frame.into_data() else { continue };
-                    self.came += data.len() as u64;
-                    let patience = self.still.as_secs_f64() + self.came as f64 / self.least_per_s;
+                    self.received += data.len() as u64;
+                    let patience =
+                        self.stall_timeout.as_secs_f64() + self.received as f64 / self.min_bytes_per_s;
                     match self.waited.as_secs_f64() > patience {
-                        true => Some(Err(Broken::Still)),
-                        false if self.came > MOST => Some(Err(Broken::TooLong)),
+                        true => Some(Err(BodyError::TimedOut)),
+                        false if self.received > MAX_BODY => Some(Err(BodyError::TooLong)),
                         false => Some(Ok(data)),
                     }
                 }
@@ -129,28 +133,29 @@
         }
     }
 
-    async fn next(&mut self) -> Option<Result<Bytes, Broken>> {
+    async fn next(&mut self) -> Option<Result<Bytes, BodyError>> {
         std::future::poll_fn(|cx| self.poll(cx)).await
     }
 
-    /// Reads on until the end or past `kept`; tells whether it is the end. Its place in the pool is taken at once
-    /// for all that may come: those that wait for more would hold up one another.
-    /// What is of no told length is not kept past `until`: it may be long, and is not to be cut off.
+    /// Reads until the end or until more than `kept` bytes are buffered; returns whether the end was reached.
+    /// Permits for the whole body are acquired at once: bodies that hold some and wait for more could deadlock.
+    /// A body of unknown length is not buffered past `until`: it may be long and must not be cut off.
     async fn read(
         &mut self,
         pool: &Pool,
         kept: usize,
         until: Option<Instant>,
         within: Duration,
-    ) -> Result<(Bytes, bool, Permit), Broken> {
+    ) -> Result<(Bytes, bool, Permit), BodyError> {
         let until = until.filter(|_| self.body.size_hint().upper().is_none());
-        let short = self.body.size_hint().upper().is_some_and(|most| most <= SHORT as u64);
+        let short = self.body.size_hint().upper().is_some_and(|most| most <= MAX_BUFFERED as u64);
         let (mut read, mut permit) = (BytesMut::new(), None);
         while read.len() <= kept {
-            if (read.len() > SMALL || kept == 0) && permit.is_none() {
+            if (read.len() > UNPOOLED || kept == 0) && permit.is_none() {
                 let since = Instant::now();
-                permit = Some(pool.take(if short { KEPT } else { FLOWING }, within).await?);
-                self.held_up += since.elapsed();
+                permit =
+                    Some(pool.take(if short { BUFFERED_PERMITS } else { STREAMED_PERMITS }, within).await?);
+                self.memory_wait += since.elapsed();
             }
             let next = match until.filter(|_| !read.is_empty()) {
                 None => self.next().await,
@@ -170,158 +175,159 @@
 
 type Permit = Option<OwnedSemaphorePermit>;
 
-/// The length that a body was said to have; MOST at the most.
-fn length(body: &Body) -> Result<SizeHint, Broken> {
+/// The declared length of a body, at most MAX_BODY.
+fn length(body: &Body) -> Result<SizeHint, BodyError> {
     let length = body.size_hint();
-    match (length.lower() > MOST, length.exact()) {
-        (true, _) => Err(Broken::TooLong),
+    match (length.lower() > MAX_BODY, length.exact()) {
+        (true, _) => Err(BodyError::TooLong),
         (false, Some(exact)) => Ok(SizeHint::with_exact(exact)),
         (false, None) => Ok(SizeHint::new()),
     }
 }
 
-/// A query's body.
+/// Body of a query.
 #[derive(Clone)]
 pub enum Payload {
-    Whole(Bytes, #[allow(dead_code, reason = "keeps its place")] Arc<Permit>),
-    Passing(Arc<Passage>),
+    Buffered(Bytes, #[allow(dead_code, reason = "keeps its place")] Arc<Permit>),
+    Streamed(Arc<StreamedBody>),
 }
 
-/// One that is longer than what is kept of it.
-pub struct Passage {
+/// A body too long to be buffered.
+pub struct StreamedBody {
     first: Bytes,
-    /// None once an execution has begun to pull it.
-    rest: Mutex<Option<Source>>,
+    /// None once an execution has begun to read it.
+    rest: Mutex<Option<BodyReader>>,
     length: SizeHint,
     ended: watch::Sender<Option<Instant>>,
     _permit: Permit,
 }
 
 impl Payload {
-    /// Waits for memory no longer than `within`: its client may have sent all of it, and its time runs.
-    /// Tells how long it waited.
-    pub async fn read(body: Body, pool: &Pool, within: Duration) -> Result<(Payload, Duration), Broken> {
+    /// Reads the body. Waits for memory at most `within`, as the client may have sent all of it and its
+    /// deadline is running. Also returns how long it waited.
+    pub async fn read(body: Body, pool: &Pool, within: Duration) -> Result<(Payload, Duration), BodyError> {
         let length = length(&body)?;
-        let mut source = Source::new(body, CLIENT_STILL, LEAST_PER_S);
-        let (first, whole, permit) = source.read(pool, SHORT, None, within).await?;
+        let mut reader = BodyReader::new(body, CLIENT_STALL_TIMEOUT, MIN_BYTES_PER_S);
+        let (first, whole, permit) = reader.read(pool, MAX_BUFFERED, None, within).await?;
         if whole {
-            return Ok((Payload::Whole(first, Arc::new(permit)), source.held_up));
+            return Ok((Payload::Buffered(first, Arc::new(permit)), reader.memory_wait));
         }
-        let held_up = source.held_up;
-        let (rest, ended) = (Mutex::new(Some(source)), watch::Sender::new(None));
-        let passage = Passage { first, rest, length, ended, _permit: permit };
-        Ok((Payload::Passing(Arc::new(passage)), held_up))
+        let memory_wait = reader.memory_wait;
+        let (rest, ended) = (Mutex::new(Some(reader)), watch::Sender::new(None));
+        let streamed = StreamedBody { first, rest, length, ended, _permit: permit };
+        Ok((Payload::Streamed(Arc::new(streamed)), memory_wait))
     }
 
-    /// The body for one execution of this query.
-    /// `told` hears whether a long one has gone whole: no as it goes on behind what is kept, then yes.
-    pub fn body(&self, told: impl Fn(bool) + Send + Sync + Unpin + 'static) -> Body {
+    /// The body for one execution of this query. `on_progress` is called for a streamed body: with false when
+    /// it goes beyond the buffered part, with true when it was sent completely.
+    pub fn body(&self, on_progress: impl Fn(bool) + Send + Sync + Unpin + 'static) -> Body {
         match self {
-            Payload::Whole(bytes, _) => Body::from(bytes.clone()),
-            Payload::Passing(passage) => Body::new(Sending {
-                first: Some(passage.first.clone()),
-                passage: Arc::clone(passage),
+            Payload::Buffered(bytes, _) => Body::from(bytes.clone()),
+            Payload::Streamed(streamed) => Body::new(StreamedBodySender {
+                first: Some(streamed.first.clone()),
+                streamed: Arc::clone(streamed),
                 rest: None,
-                told,
+                on_progress,
             }),
         }
     }
 
-    pub fn passing(&self) -> bool {
-        matches!(self, Payload::Passing(_))
+    pub fn is_streamed(&self) -> bool {
+        matches!(self, Payload::Streamed(_))
     }
 
-    /// When its last byte went, if it is passed on as it comes.
-    pub fn gone_at(&self) -> Option<Instant> {
+    /// When the last byte was sent, if the body is streamed.
+    pub fn sent_at(&self) -> Option<Instant> {
         match self {
-            Payload::Whole(..) => None,
-            Payload::Passing(passage) => *passage.ended.borrow(),
+            Payload::Buffered(..) => None,
+            Payload::Streamed(streamed) => *streamed.ended.borrow(),
         }
     }
 
-    /// The same, waited for; at once for what is kept whole.
-    pub async fn gone(&self) -> Option<Instant> {
+    /// Waits until the last byte was sent; returns at once if the body is buffered.
+    pub async fn sent(&self) -> Option<Instant> {
         match self {
-            Payload::Whole(..) => None,
-            Payload::Passing(passage) => {
-                let mut ended = passage.ended.subscribe();
+            Payload::Buffered(..) => None,
+            Payload::Streamed(streamed) => {
+                let mut ended = streamed.ended.subscribe();
                 let ended = ended.wait_for(Option::is_some).await;
                 ended.ok().and_then(|ended| *ended)
             }
         }
     }
 
-    /// A request with this body that broke off while no more than this was written has surely not gone whole.
-    pub fn surely(&self) -> usize {
+    /// If at most this many bytes were written when the connection broke, the request certainly was not sent
+    /// completely.
+    pub fn max_unsent_bytes(&self) -> usize {
         match self {
-            Payload::Whole(bytes, _) => bytes.len(),
-            Payload::Passing(_) if self.gone_at().is_some() => 0,
-            Payload::Passing(_) => usize::MAX,
+            Payload::Buffered(bytes, _) => bytes.len(),
+            Payload::Streamed(_) if self.sent_at().is_some() => 0,
+            Payload::Streamed(_) => usize::MAX,
         }
     }
 }
 
-/// A long body on its way to one backend.
-struct Sending<T> {
+/// A streamed body on its way to one backend.
+struct StreamedBodySender<T> {
     first: Option<Bytes>,
-    passage: Arc<Passage>,
-    rest: Option<Source>,
-    told: T,
+    streamed: Arc<StreamedBody>,
+    rest: Option<BodyReader>,
+    on_progress: T,
 }
 
-impl<T: Fn(bool) + Unpin> HttpBody for Sending<T> {
+impl<T: Fn(bool) + Unpin> HttpBody for StreamedBodySender<T> {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
-        let sending = &mut *self;
-        if let Some(first) = sending.first.take() {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        let this = &mut *self;
+        if let Some(first) = this.first.take() {
             return Poll::Ready(Some(Ok(Frame::data(first))));
         }
-        if sending.rest.is_none() {
-            sending.rest = sending.passage.rest.lock().unwrap_or_else(PoisonError::into_inner).take();
-            if sending.rest.is_some() {
-                (sending.told)(false);
+        if this.rest.is_none() {
+            this.rest = this.streamed.rest.lock().unwrap_or_else(PoisonError::into_inner).take();
+            if this.rest.is_some() {
+                (this.on_progress)(false);
             }
         }
-        let Some(rest) = &mut sending.rest else { return Poll::Ready(Some(Err(Broken::Gone))) };
+        let Some(rest) = &mut this.rest else { return Poll::Ready(Some(Err(BodyError::Consumed))) };
         let data = std::task::ready!(rest.poll(cx));
-        // Nobody asks again behind the last byte of a length that was told.
+        // With a declared length, nothing is polled after its last byte.
         if data.is_none() || rest.body.is_end_stream() {
-            (sending.told)(true);
-            sending.passage.ended.send_replace(Some(Instant::now()));
+            (this.on_progress)(true);
+            this.streamed.ended.send_replace(Some(Instant::now()));
         }
         Poll::Ready(data.map(|data| data.map(Frame::data)))
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.passage.length
+        self.streamed.length
     }
 }
 
-/// An answer on its way to the client: whole, or its first part with the rest behind it.
+/// A response on its way to the client: complete, or its first part and the rest to be streamed.
 pub struct Answer {
     first: Option<Bytes>,
-    rest: Option<Source>,
+    rest: Option<BodyReader>,
     length: SizeHint,
-    /// Called once a rest was read to its end.
+    /// Called once the rest was read completely.
     read: Option<Box<dyn FnOnce() + Send>>,
     _permit: Permit,
 }
 
 impl Answer {
-    pub async fn read(body: Body, pool: &Pool, until: Instant) -> Result<Answer, Broken> {
+    pub async fn read(body: Body, pool: &Pool, until: Instant) -> Result<Answer, BodyError> {
         let said = length(&body)?;
-        let mut source = Source::new(body, BACKEND_STILL, f64::MIN_POSITIVE);
-        // Of one that is said to be long the first bytes count: a slow backend takes a second for the rest of
-        // what would be kept.
-        let kept = if said.lower() > SHORT as u64 { 0 } else { SHORT };
-        let (first, whole, permit) = source.read(pool, kept, Some(until), Duration::MAX).await?;
+        let mut reader = BodyReader::new(body, BACKEND_STALL_TIMEOUT, f64::MIN_POSITIVE);
+        // If the declared length is large, forward the first bytes at once: a slow backend takes a second to
+        // fill the buffer.
+        let kept = if said.lower() > MAX_BUFFERED as u64 { 0 } else { MAX_BUFFERED };
+        let (first, whole, permit) = reader.read(pool, kept, Some(until), Duration::MAX).await?;
         let length = if whole { SizeHint::with_exact(first.len() as u64) } else { said };
-        let (first, rest) = (Some(first), (!whole).then_some(source));
+        let (first, rest) = (Some(first), (!whole).then_some(reader));
         Ok(Answer { first, rest, length, read: None, _permit: permit })
     }
 
@@ -329,7 +335,7 @@
         self.rest.is_none()
     }
 
-    /// The body for the client; `read` is called once the last of it was read.
+    /// The body for the client; `read` is called once it was read completely.
     pub fn body(mut self, read: impl FnOnce() + Send + 'static) -> Body {
         self.read = Some(Box::new(read));
         Body::new(self)
@@ -338,12 +344,12 @@
 
 impl HttpBody for Answer {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let answer = &mut *self;
         if let Some(first) = answer.first.take().filter(|first| !first.is_empty()) {
             return Poll::Ready(Some(Ok(Frame::data(first))));
--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line. `crankpick` alone serves, as the platform starts it.
+//! The command line. Without arguments `crankpick` serves, which is how the platform starts it.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,11 +10,11 @@
 pub struct Cli {
     #[command(flatten)]
     pub serve: Serve,
-    /// How log lines are written
+    /// Log format
     #[arg(long, value_enum, default_value_t = Log::Text, global = true)]
     pub log: Log,
     #[command(subcommand)]
-    pub what: Option<What>,
+    pub command: Option<Command>,
 }
 
 #[derive(Clone, Copy, Default, ValueEnum, PartialEq)]
@@ -26,30 +26,30 @@
 
 #[derive(clap::Args, Clone, Default)]
 pub struct Serve {
-    /// The operators' file that joins this proxy to a fleet; without it nothing of that part starts
+    /// Fleet file that joins this proxy to a fleet; without it all fleet functions are off
     #[arg(long, env = "CRANKPICK_FLEET", value_name = "FILE")]
     pub fleet: Option<PathBuf>,
 }
 
 #[derive(Subcommand)]
-pub enum What {
-    /// Serve, with the configuration that EDGE_CONFIG names (what no command at all does too)
+pub enum Command {
+    /// Serve with the configuration that EDGE_CONFIG names (the default without a command)
     Serve(Serve),
-    /// Say whether a file would do: a configuration (.json) or a fleet file (.toml)
+    /// Validate a file: a configuration (.json) or a fleet file (.toml)
     Check {
         file: PathBuf,
-        /// The proxy's name, for a fleet file that gives none
+        /// Name of the proxy, for a fleet file that contains none
         #[arg(long)]
         name: Option<String>,
     },
-    /// Ask the fleet, or tell it something, through any proxy of it
+    /// Query or control the fleet through any of its proxies
     #[command(subcommand)]
     Fleet(Fleet),
 }
 
 #[derive(clap::Args)]
-pub struct At {
-    /// The second address of any proxy of the fleet
+pub struct ProxyTarget {
+    /// Second address of any proxy of the fleet
     #[arg(long, env = "CRANKPICK_AT", value_name = "ADDRESS")]
     pub at: SocketAddr,
     /// Print JSON
@@ -59,55 +59,55 @@
 
 #[derive(clap::Args)]
 pub struct Backends {
-    /// Backends, by the ids that discovery lists
+    /// Backend ids as listed by discovery
     #[arg(required = true, value_name = "ID")]
     pub ids: Vec<String>,
     #[command(flatten)]
-    pub at: At,
-    /// The call's own id, in hexadecimal: repeated with the same one it is carried out once
+    pub at: ProxyTarget,
+    /// Id of the call, in hexadecimal: calls repeated with the same id are carried out once
     #[arg(long, value_parser = call_id)]
     pub call: Option<u128>,
-    /// How long to wait until every proxy has acted, in seconds
+    /// How long to wait until every proxy has applied the change, in seconds
     #[arg(long, default_value_t = 3.0)]
     pub wait: f64,
 }
 
 #[derive(Subcommand)]
 pub enum Fleet {
-    /// Who leads, who is there, which version each proxy acts on
-    Status(At),
-    /// Who owns which duty
-    Owner(At),
-    /// Take backends out at every proxy
+    /// Show the leader, the members and the version that each proxy has applied
+    Status(ProxyTarget),
+    /// Show the owner of each duty
+    Owner(ProxyTarget),
+    /// Take backends out of service at every proxy
     Out(Backends),
-    /// Let them be used again
+    /// Put backends back into service
     Back(Backends),
-    /// Vouch that a proxy which left is down and will send nothing: work no longer waits for it
+    /// Confirm that a departed proxy is down and will send nothing, so that work no longer waits for it
     Forget(Named),
-    /// Machines out for work, in an order that the proxies settle among themselves
+    /// Take machines out of service for maintenance, in an order that the proxies agree on
     #[command(subcommand)]
     Work(Work),
 }
 
 #[derive(clap::Args)]
 pub struct Named {
-    /// A plan, a machine or a proxy
+    /// Name of a plan, a machine or a proxy
     #[arg(value_parser = one_word)]
     pub name: String,
     #[command(flatten)]
-    pub at: At,
-    /// The call's own id, in hexadecimal: repeated with the same one it is carried out once
+    pub at: ProxyTarget,
+    /// Id of the call, in hexadecimal: calls repeated with the same id are carried out once
     #[arg(long, value_parser = call_id)]
     pub call: Option<u128>,
 }
 
 #[derive(clap::Args)]
 pub struct Add {
-    /// The plan, as TOML
+    /// The plan, a TOML file
     pub plan: PathBuf,
     #[command(flatten)]
-    pub at: At,
-    /// The call's own id, in hexadecimal: repeated with the same one it is carried out once
+    pub at: ProxyTarget,
+    /// Id of the call, in hexadecimal: calls repeated with the same id are carried out once
     #[arg(long, value_parser = call_id)]
     pub call: Option<u128>,
 }
@@ -116,26 +116,26 @@
 pub struct Show {
     pub plan: String,
     #[command(flatten)]
-    pub at: At,
+    pub at: ProxyTarget,
 }
 
 #[derive(Subcommand)]
 pub enum Work {
-    /// Give the fleet a plan
+    /// Add a plan
     Add(Add),
-    /// All plans, a line each
-    List(At),
-    /// One plan: each machine's stage, and what is waited for
+    /// List all plans, one per line
+    List(ProxyTarget),
+    /// Show a plan: the stage of each machine, and what it waits for
     Show(Show),
-    /// Nothing more goes out
+    /// Pause a plan: no further machine is taken out
     Pause(Named),
-    /// Go on
+    /// Resume a paused plan
     Resume(Named),
-    /// Nothing more goes out; what is under work comes back when it is done
+    /// Cancel a plan: no further machine is taken out; machines under work come back when it is done
     Cancel(Named),
-    /// Work on this machine is over
+    /// Report that work on a machine is finished
     Done(Named),
-    /// Work on this machine failed: it stays out until it is done
+    /// Report that work on a machine failed: it stays out until the work is done
     Failed(Named),
 }
 
@@ -147,5 +147,5 @@
 }
 
 fn call_id(text: &str) -> Result<u128, String> {
-    u128::from_str_radix(text, 16).map_err(|wrong| wrong.to_string())
+    u128::from_str_radix(text, 16).map_err(|error| error.to_string())
 }
--- a/crates/proxy/src/connect.rs
+++ b/crates/proxy/src/connect.rs
@@ -1,6 +1,6 @@
-//! Connections to backends as hyper-util's client opens them. Each knows what was written on it since
-//! it last rested, is looked into before it is used again, ends itself before the backend would or when
-//! an answer doesn't end, and leaves one log line.
+//! Backend connections for the hyper-util client. Each tracks what was written since it was last idle, is
+//! checked before reuse, closes itself before the backend would or when a response doesn't end, and writes one
+//! log line when it idle_timer.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use crankpick_carry::run::Right;
-use crankpick_http::stall::Stall;
+use crankpick_http::write_timeout::WriteTimeout;
 use hyper::Uri;
 use hyper_util::client::legacy::connect::{Connected, Connection};
 use hyper_util::rt::TokioIo;
@@ -23,62 +23,62 @@
 use tokio::sync::{watch, OwnedSemaphorePermit, Semaphore};
 use tokio::time::{sleep, timeout_at, Instant, Sleep};
 
-use crate::bodies::MOST;
-use crate::places::Places;
-use crate::share::halve;
+use crate::bodies::MAX_BODY;
+use crate::endpoints::Endpoints;
+use crate::permits::cede_half;
 
-/// Opens connections, no more at a time than its budget; where it is spent the longest idle one goes.
+/// Opens connections within a budget; when it is exhausted the connection idle for longest is closed.
 #[derive(Clone)]
 pub struct Connector {
     budget: Arc<Semaphore>,
-    links: Arc<Mutex<BTreeMap<u64, Arc<Link>>>>,
+    connections: Arc<Mutex<BTreeMap<u64, Arc<TrackedConnection>>>>,
     timeout: Duration,
     idle: Duration,
-    /// In a fleet, how long anything may be sent.
+    /// Set in a fleet: until when anything may be sent.
     right: Option<Right>,
-    pub places: Arc<Places>,
+    pub endpoints: Arc<Endpoints>,
 }
 
-/// Head, body and what 1xx answers come ahead.
-const MOST_ANSWER: usize = MOST as usize + (8 << 20);
-/// How long a backend may take nothing of a request.
-const UNREAD: Duration = Duration::from_secs(4);
+/// Maximum size of a response: body, head and any preceding 1xx responses.
+const MAX_ANSWER: usize = MAX_BODY as usize + (8 << 20);
+/// How long a backend may accept no bytes of a request.
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(4);
 /// ENFILE and EMFILE.
-const NO_DESCRIPTOR: [i32; 2] = [23, 24];
+const OUT_OF_DESCRIPTORS: [i32; 2] = [23, 24];
 
-/// Marks the error of a connection that was not tried for want of descriptors: no backend's fault.
+/// Error of a connection that was not attempted because no descriptor was available: not the backend's fault.
 #[derive(Debug)]
 pub struct OverBudget;
 
 impl std::fmt::Display for OverBudget {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        f.write_str("no descriptor to spare")
+        f.write_str("no file descriptor available")
     }
 }
 
 impl std::error::Error for OverBudget {}
 
-/// What is known of one connection, shared by its owner inside the client and the query that uses it.
-pub struct Link {
+/// State of one connection, shared by the I/O object inside the client and the query that uses it.
+pub struct TrackedConnection {
     backend: u32,
     state: Mutex<State>,
 }
 
 struct State {
-    /// None from an execution's first byte until its answer was read to the end.
+    /// None from the first byte of an execution until its response was read completely.
     idle_since: Option<Instant>,
     written: usize,
     executions: u64,
-    /// When the last of the answer in hand came, and how much of it has come.
+    /// When the latest bytes of the current response arrived, and how many have arrived in total.
     answer: Option<(Instant, usize)>,
-    /// Whether it is passed on as it comes: then who takes it says how long it may stand still.
-    flows: bool,
+    /// Whether the response is streamed: then its reader bounds how long it may pause.
+    streaming: bool,
     why: Option<&'static str>,
     reader: Option<Waker>,
 }
 
 impl State {
-    /// The reader looks anew at whether the connection still stands.
+    /// Makes the reading task check again whether the connection should end.
     fn wake(&mut self) {
         if let Some(reader) = self.reader.take() {
             reader.wake();
@@ -86,56 +86,56 @@
     }
 }
 
-impl Link {
+impl TrackedConnection {
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The number of the execution in hand, to be given back with `rest`.
+    /// Number of the current execution, to be passed to `set_idle`.
     pub fn execution(&self) -> u64 {
         self.lock().executions
     }
 
-    /// An answer was read to its end. The client may have given the connection on before this is said:
-    /// then another execution has begun and nothing changes.
-    pub fn rest(&self, execution: u64) {
+    /// Marks the response as read completely. The client may have reused the connection before this call: then
+    /// another execution has begun and nothing changes.
+    pub fn set_idle(&self, execution: u64) {
         let mut state = self.lock();
         if state.executions == execution {
             state.idle_since = Some(Instant::now());
             state.written = 0;
-            (state.answer, state.flows) = (None, false);
+            (state.answer, state.streaming) = (None, false);
             state.wake();
         }
     }
 
-    pub fn flow(&self) {
-        self.lock().flows = true;
+    pub fn set_streaming(&self) {
+        self.lock().streaming = true;
     }
 
-    /// Whether it has carried others before and was found unfit before a byte of this request was written:
-    /// then the request is as good as new for another connection.
-    pub fn spent_unused(&self) -> bool {
+    /// Whether a pooled connection was found unusable before any byte of this request was written: then the
+    /// request can safely be sent on another connection.
+    pub fn unusable_before_use(&self) -> bool {
         let state = self.lock();
         state.idle_since.is_some() && state.executions > 0
     }
 
-    /// Whether a byte of the request in hand was written.
+    /// Whether a byte of the current request was written.
     pub fn begun(&self) -> bool {
         self.lock().idle_since.is_none()
     }
 
-    /// Whether it has carried others before this one.
-    pub fn kept(&self) -> bool {
+    /// Whether the connection has carried executions before this one.
+    pub fn reused(&self) -> bool {
         self.lock().executions > 1
     }
 
-    /// Whether nothing came of an answer.
-    pub fn unanswered(&self) -> bool {
+    /// Whether no byte of a response has arrived.
+    pub fn has_no_answer(&self) -> bool {
         self.lock().answer.is_none()
     }
 
-    /// Whether a request with a body of this length can't have been written whole. Only what holds for
-    /// sure counts: the head has some length too, but nobody knows how much of it a part was.
+    /// Whether a request with a body of this length certainly was not written completely. The head counts too,
+    /// but its length is unknown here, so only the body's length is compared.
     pub fn wrote_less_than(&self, body: usize) -> bool {
         let state = self.lock();
         state.idle_since.is_some() || state.written <= body
@@ -144,8 +144,9 @@
 
 impl Connector {
     pub fn new(budget: usize, timeout: Duration, idle: Duration, right: Option<Right>) -> Self {
-        let (budget, links, places) = (Arc::new(Semaphore::new(budget)), Arc::default(), Arc::default());
-        Connector { budget, links, timeout, idle, right, places }
+        let (budget, connections, endpoints) =
+            (Arc::new(Semaphore::new(budget)), Arc::default(), Arc::default());
+        Connector { budget, connections, timeout, idle, right, endpoints }
     }
 
     pub fn timeout(&self) -> Duration {
@@ -156,29 +157,29 @@
         self.right.as_ref().is_none_or(Right::lasts)
     }
 
-    /// No connection to this backend is used again.
-    pub fn end_all(&self, backend: u32) {
-        let links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
-        for link in links.values().filter(|link| link.backend == backend) {
-            let mut state = link.lock();
+    /// Closes all connections to this backend; none is used again.
+    pub fn close_all(&self, backend: u32) {
+        let connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
+        for connection in connections.values().filter(|connection| connection.backend == backend) {
+            let mut state = connection.lock();
             state.why.get_or_insert("backend_gone");
             state.wake();
         }
     }
 
-    /// Beside another process each has half of the budget.
-    pub async fn leave_room(&self, others: watch::Receiver<usize>, budget: usize) {
-        halve(others, Arc::clone(&self.budget), budget, || self.end_longest_idle()).await;
+    /// While another process runs, each process has half of the budget.
+    pub async fn share_with(&self, others: watch::Receiver<usize>, budget: usize) {
+        cede_half(others, Arc::clone(&self.budget), budget, || self.close_longest_idle()).await;
     }
 
-    fn end_longest_idle(&self) {
-        let links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
-        let idle = links.values().filter_map(|link| {
-            let state = link.lock();
-            state.idle_since.filter(|_| state.why.is_none()).map(|since| (since, link))
+    fn close_longest_idle(&self) {
+        let connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
+        let idle = connections.values().filter_map(|connection| {
+            let state = connection.lock();
+            state.idle_since.filter(|_| state.why.is_none()).map(|since| (since, connection))
         });
-        if let Some((_, link)) = idle.min_by_key(|(since, _)| *since) {
-            let mut state = link.lock();
+        if let Some((_, connection)) = idle.min_by_key(|(since, _)| *since) {
+            let mut state = connection.lock();
             state.why = Some("over_budget");
             state.wake();
         }
@@ -188,25 +189,25 @@
         self,
         backend: u32,
         address: SocketAddr,
-    ) -> Result<Wire, Box<dyn std::error::Error + Send + Sync>> {
-        // Both waits within the one time: a drain may be told meanwhile.
+    ) -> Result<BackendStream, Box<dyn std::error::Error + Send + Sync>> {
+        // One deadline covers both waits: the backend may be drained meanwhile.
         let until = Instant::now() + self.timeout;
         let spare = Arc::clone(&self.budget).try_acquire_owned();
         let permit = match spare {
             Ok(permit) => permit,
             Err(_) => {
-                self.end_longest_idle();
+                self.close_longest_idle();
                 let freed = timeout_at(until, self.budget.acquire_owned()).await;
                 freed.map_err(|_| OverBudget)?.map_err(|_| OverBudget)?
             }
         };
         let opened = timeout_at(until, TcpStream::connect(address)).await;
-        let stream = opened.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())).map_err(|wrong| {
-            tracing::info!(code = "backend_unreachable", %address, "{wrong}");
-            if NO_DESCRIPTOR.iter().any(|code| wrong.raw_os_error() == Some(*code)) {
+        let stream = opened.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())).map_err(|error| {
+            tracing::info!(code = "backend_unreachable", %address, "{error}");
+            if OUT_OF_DESCRIPTORS.iter().any(|code| error.raw_os_error() == Some(*code)) {
                 return OverBudget.into();
             }
-            Box::<dyn std::error::Error + Send + Sync>::from(wrong)
+            Box::<dyn std::error::Error + Send + Sync>::from(error)
         })?;
         stream.set_nodelay(true)?;
         let state = State {
@@ -214,37 +215,37 @@
             written: 0,
             executions: 0,
             answer: None,
-            flows: false,
+            streaming: false,
             why: None,
             reader: None,
         };
-        let link = Arc::new(Link { backend, state: Mutex::new(state) });
-        let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
-        let number = links.last_key_value().map_or(0, |(last, _)| last + 1);
-        links.insert(number, Arc::clone(&link));
-        drop(links);
-        Ok(Wire {
+        let connection = Arc::new(TrackedConnection { backend, state: Mutex::new(state) });
+        let mut connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
+        let number = connections.last_key_value().map_or(0, |(last, _)| last + 1);
+        connections.insert(number, Arc::clone(&connection));
+        drop(connections);
+        Ok(BackendStream {
             stream,
-            stall: Stall::new(UNREAD),
-            link,
+            write_timeout: WriteTimeout::new(WRITE_STALL_TIMEOUT),
+            connection,
             number,
-            links: self.links,
+            connections: self.connections,
             address,
             opened: Instant::now(),
             idle: self.idle,
-            patience: self.timeout,
-            ends: Box::pin(sleep(self.idle)),
+            max_pause: self.timeout,
+            idle_timer: Box::pin(sleep(self.idle)),
             right: self.right,
-            places: self.places,
+            endpoints: self.endpoints,
             _permit: permit,
         })
     }
 }
 
 impl tower_service::Service<Uri> for Connector {
-    type Response = TokioIo<Wire>;
+    type Response = TokioIo<BackendStream>;
     type Error = Box<dyn std::error::Error + Send + Sync>;
-    type Future = Pin<Box<dyn Future<Output = Result<TokioIo<Wire>, Self::Error>> + Send>>;
+    type Future = Pin<Box<dyn Future<Output = Result<TokioIo<BackendStream>, Self::Error>> + Send>>;
 
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), Self::Error>> {
         Poll::Ready(Ok(()))
@@ -254,54 +255,54 @@
         let connector = self.clone();
         Box::pin(async move {
             let authority = uri.authority().map_or("", |authority| authority.as_str());
-            let (backend, address) = authority.split_once('@').ok_or("a place with no backend")?;
+            let (backend, address) = authority.split_once('@').ok_or("authority without a backend number")?;
             let backend = backend.split_once('-').map_or(backend, |(backend, _)| backend);
             connector.open(backend.parse()?, address.parse()?).await.map(TokioIo::new)
         })
     }
 }
 
-pub struct Wire {
+pub struct BackendStream {
     stream: TcpStream,
-    stall: Stall,
-    link: Arc<Link>,
+    write_timeout: WriteTimeout,
+    connection: Arc<TrackedConnection>,
     number: u64,
-    links: Arc<Mutex<BTreeMap<u64, Arc<Link>>>>,
+    connections: Arc<Mutex<BTreeMap<u64, Arc<TrackedConnection>>>>,
     address: SocketAddr,
     opened: Instant,
     idle: Duration,
-    /// What an answer that has begun may pause: a few ways there and back, as opening takes.
-    patience: Duration,
-    ends: Pin<Box<Sleep>>,
+    /// How long a response that has begun may pause: a few round trips, the same as opening a connection.
+    max_pause: Duration,
+    idle_timer: Pin<Box<Sleep>>,
     right: Option<Right>,
-    places: Arc<Places>,
+    endpoints: Arc<Endpoints>,
     _permit: OwnedSemaphorePermit,
 }
 
-impl Connection for Wire {
+impl Connection for BackendStream {
     fn connected(&self) -> Connected {
-        Connected::new().extra(Arc::clone(&self.link))
+        Connected::new().extra(Arc::clone(&self.connection))
     }
 }
 
-impl AsyncRead for Wire {
+impl AsyncRead for BackendStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let wire = &mut *self;
+        let this = &mut *self;
         let before = buf.filled().len();
-        let read = Pin::new(&mut wire.stream).poll_read(cx, buf);
-        let came = buf.filled().len() - before;
-        let mut state = wire.link.lock();
+        let read = Pin::new(&mut this.stream).poll_read(cx, buf);
+        let received = buf.filled().len() - before;
+        let mut state = this.connection.lock();
         match &read {
-            Poll::Ready(Ok(())) if came > 0 => {
+            Poll::Ready(Ok(())) if received > 0 => {
                 let (_, length) = state.answer.unwrap_or((Instant::now(), 0));
-                state.answer = Some((Instant::now(), length + came));
+                state.answer = Some((Instant::now(), length + received));
                 if state.idle_since.is_some() {
                     state.why.get_or_insert("more_than_asked");
-                } else if length + came > MOST_ANSWER {
+                } else if length + received > MAX_ANSWER {
                     state.why.get_or_insert("endless");
                     return Poll::Ready(Err(io::ErrorKind::InvalidData.into()));
                 }
@@ -315,14 +316,14 @@
             Poll::Pending => {
                 state.reader = Some(cx.waker().clone());
                 let (until, why) = match (state.idle_since, state.answer) {
-                    // An end of input is what makes the client let go of a connection that rests.
+                    // Reporting the end of input makes the client drop an idle connection.
                     (Some(_), _) if state.why.is_some() => return Poll::Ready(Ok(())),
-                    (Some(since), _) => (since + wire.idle, "idle"),
-                    (None, Some((came, _))) if !state.flows => (came + wire.patience, "endless"),
+                    (Some(since), _) => (since + this.idle, "idle"),
+                    (None, Some((received, _))) if !state.streaming => (received + this.max_pause, "endless"),
                     (None, _) => return read,
                 };
-                wire.ends.as_mut().reset(until);
-                if wire.ends.as_mut().poll(cx).is_ready() {
+                this.idle_timer.as_mut().reset(until);
+                if this.idle_timer.as_mut().poll(cx).is_ready() {
                     state.why.get_or_insert(why);
                     return match why {
                         "idle" => Poll::Ready(Ok(())),
@@ -335,29 +336,32 @@
     }
 }
 
-impl Wire {
-    /// Before an execution's first byte: whatever came behind the last answer would pass for this one's,
-    /// and what the other side has closed takes no more. The client may not have been told of either yet.
-    fn fit(&self) -> io::Result<()> {
-        let mut state = self.link.lock();
-        // It may be given on before it is said to rest: then only the last answer tells that this one is new.
+impl BackendStream {
+    /// Checks the connection before the first byte of an execution: bytes that follow the last response would
+    /// be taken for this one's, and a connection closed by the other side accepts no request. The client may
+    /// not have noticed either yet.
+    fn check_reusable(&self) -> io::Result<()> {
+        let mut state = self.connection.lock();
+        // The connection may be reused before `set_idle`: then only the previous response shows that this
+        // request is a new one.
         if state.idle_since.is_none() && state.answer.is_none() {
             return Ok(());
         }
         state.written = 0;
         let found = match SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]) {
-            Err(wrong) if wrong.kind() == io::ErrorKind::WouldBlock => None,
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => None,
             Ok(0) => Some("closed_by_backend"),
             Ok(_) => Some("more_than_asked"),
             Err(_) => Some("reset_by_backend"),
         };
-        // Looked at last thing before the first byte: the process may have slept since the query was taken.
+        // Checked directly before the first byte: the process may have been suspended since the query was
+        // accepted.
         let found = found.or_else(|| {
             let may = self.right.as_ref().is_none_or(Right::lasts);
             (!may).then_some("cut_off")
         });
-        // News may have come since the query was decided, or since this connection was begun.
-        let open = || self.places.open(self.link.backend) == Some(self.address);
+        // The list may have changed since the query was decided, or since this connection was opened.
+        let open = || self.endpoints.available_address(self.connection.backend) == Some(self.address);
         let found = found.or_else(|| (!open()).then_some("out_of_bounds"));
         if let Some(found) = found {
             state.why.get_or_insert(found);
@@ -368,13 +372,13 @@
         }
         state.idle_since = None;
         state.executions += 1;
-        (state.answer, state.flows) = (None, false);
+        (state.answer, state.streaming) = (None, false);
         Ok(())
     }
 
     fn wrote(&mut self, cx: &mut Context<'_>, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        let written = self.stall.wrote(cx, written);
-        let mut state = self.link.lock();
+        let written = self.write_timeout.check(cx, written);
+        let mut state = self.connection.lock();
         match &written {
             Poll::Ready(Ok(length)) => state.written += length,
             Poll::Ready(Err(_)) => {
@@ -386,9 +390,9 @@
     }
 }
 
-impl AsyncWrite for Wire {
+impl AsyncWrite for BackendStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.fit()?;
+        self.check_reusable()?;
         let written = Pin::new(&mut self.stream).poll_write(cx, buf);
         self.wrote(cx, written)
     }
@@ -398,7 +402,7 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.fit()?;
+        self.check_reusable()?;
         let written = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
         self.wrote(cx, written)
     }
@@ -416,11 +420,11 @@
     }
 }
 
-impl Drop for Wire {
+impl Drop for BackendStream {
     fn drop(&mut self) {
-        self.links.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.number);
-        let state = self.link.lock();
-        // The client may let go of an idle one before it ends itself.
+        self.connections.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.number);
+        let state = self.connection.lock();
+        // The client may drop an idle connection before it closes itself.
         let ended = if state.idle_since.is_some() { "idle" } else { "given_up" };
         tracing::info!(
             code = state.why.unwrap_or(ended),
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Follows the list of backends: a watch whenever the module wants one, its lines fed as they come.
+//! Follows the list of backends: opens a watch whenever the balancer requests one and feeds it the updates.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::convert::Infallible;
@@ -24,18 +24,19 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
 use crate::backends::Backends;
-use crate::decide::Decide;
-use crate::names::Names;
+use crate::balancer::BalancerHandle;
+use crate::registry::BackendRegistry;
 
-/// How long a call may take: worked out in `retry`, together with the waits between calls.
-const SILENT: Duration = Duration::from_micros(WATCH_TIMEOUT_US);
-const CALL: Duration = Duration::from_micros(RESPONSE_TIMEOUT_US);
-const OPENED: Duration = Duration::from_micros(CONNECT_TIMEOUT_US);
-/// Between two tries where an agent beside us has the list: it counts as told as soon as the agent has it, and the
-/// shortest grace on drains seen is 150 ms. Twice as long after each that failed, up to the second.
-const PUSHED: [Duration; 2] = [Duration::from_millis(30), Duration::from_millis(120)];
-/// Against a list that never ends.
-const MOST_TEXT: usize = 8 << 20;
+/// Timeouts of a call; derived in `crankpick::retry` together with the backoff between calls.
+const WATCH_TIMEOUT: Duration = Duration::from_micros(WATCH_TIMEOUT_US);
+const RESPONSE_TIMEOUT: Duration = Duration::from_micros(RESPONSE_TIMEOUT_US);
+const CONNECT_TIMEOUT: Duration = Duration::from_micros(CONNECT_TIMEOUT_US);
+/// Minimum and maximum backoff if a local agent serves the list; doubled after each failure. Updates are
+/// expected to be applied as soon as the agent has them, and the shortest drain grace period observed is 150
+/// ms.
+const AGENT_BACKOFF: [Duration; 2] = [Duration::from_millis(30), Duration::from_millis(120)];
+/// Maximum size of a list in bytes; guards against one that never ends.
+const MAX_LIST_BYTES: usize = 8 << 20;
 
 #[derive(Deserialize, Default)]
 pub struct List {
@@ -47,165 +48,168 @@
     pub instances: Vec<Value>,
 }
 
-/// Why a call to discovery or its watch is over; the reason is for the log alone.
-struct Lost {
+/// Why a call to discovery or a watch ended; `why` is only logged.
+struct WatchError {
     failure: Failure,
     why: String,
 }
 
-impl Lost {
-    /// Nothing came in time, or no connection.
+impl WatchError {
+    /// No connection, or no response in time.
     fn silent(why: impl Into<String>) -> Self {
-        Lost { failure: Failure::Silent, why: why.into() }
+        WatchError { failure: Failure::Silent, why: why.into() }
     }
 
-    /// It is there, and said no, ended, or can't be understood.
+    /// Discovery was reached, but rejected the call, closed it or sent something that can't be parsed.
     fn refused(why: impl Into<String>) -> Self {
-        Lost { failure: Failure::Refused, why: why.into() }
+        WatchError { failure: Failure::Refused, why: why.into() }
     }
 }
 
-impl From<hyper::Error> for Lost {
-    fn from(wrong: hyper::Error) -> Self {
-        Lost::refused(wrong.to_string())
+impl From<hyper::Error> for WatchError {
+    fn from(error: hyper::Error) -> Self {
+        WatchError::refused(error.to_string())
     }
 }
 
 pub struct Discovery {
-    decide: Arc<Decide>,
+    balancer: Arc<BalancerHandle>,
     backends: Arc<Backends>,
     zones: Vec<String>,
-    names: Arc<Mutex<Names>>,
+    registry: Arc<Mutex<BackendRegistry>>,
     generation: u64,
-    /// Whether what the list drops may still be sent to: the settings' word.
+    /// Setting `Safety.RemovalNotBinding`: backends that the list drops may still receive requests.
     only_draining_binds: bool,
-    /// Dropped by the list, but the module may still use them.
+    /// Dropped by the list, but the balancer may still use them.
     dropped: BTreeMap<u32, String>,
-    /// What it told is no base for changes: it has moved and told nothing yet, or its versions went back.
-    whole_wanted: bool,
-    /// Whether an agent beside us has the list pushed to it.
+    /// A full list is needed before updates can be applied: discovery has moved to a new address, or its
+    /// generation went back.
+    full_list_needed: bool,
+    /// Whether the list is pushed to a local agent.
     pushed: bool,
-    /// How long the first call may wait, so that a fleet that starts together doesn't call at once.
+    /// Maximum delay of the first call, so that proxies that start together don't call at the same time.
     start: Duration,
-    /// Whether anything was heard yet.
+    /// Whether anything was received yet.
     heard: watch::Sender<bool>,
 }
 
 impl Discovery {
     pub fn new(
-        decide: Arc<Decide>,
+        balancer: Arc<BalancerHandle>,
         backends: Arc<Backends>,
         zones: Vec<String>,
-        names: Arc<Mutex<Names>>,
+        registry: Arc<Mutex<BackendRegistry>>,
         only_draining_binds: bool,
         pushed: bool,
         proxies: usize,
     ) -> Self {
         let start_us = if pushed { 0 } else { Retry::new(proxies).start_spread_us() };
         Discovery {
-            decide,
+            balancer,
             backends,
             zones,
-            names,
+            registry,
             generation: 0,
             only_draining_binds,
             dropped: BTreeMap::new(),
-            whole_wanted: false,
+            full_list_needed: false,
             pushed,
             start: Duration::from_micros(start_us),
             heard: watch::Sender::new(false),
         }
     }
 
-    /// Turns true with the first word of discovery's.
+    /// Becomes true with the first message from discovery.
     pub fn heard(&self) -> watch::Receiver<bool> {
         self.heard.subscribe()
     }
 
-    /// Forgets who is gone, or once the module uses it no more where its going binds nobody.
-    fn gone(&mut self, id: &str, backend: u32) {
+    /// Removes a backend; if removal is not binding, only once the balancer no longer uses it.
+    fn remove(&mut self, id: &str, backend: u32) {
         if self.only_draining_binds {
             self.dropped.insert(backend, id.to_owned());
         } else {
-            self.names().gone(id);
+            self.registry().remove(id);
             self.backends.forget(backend);
         }
     }
 
     fn release_unused(&mut self) {
-        let decide = Arc::clone(&self.decide);
-        let unused = self.dropped.extract_if(.., |backend, _| !decide.uses(*backend));
+        let balancer = Arc::clone(&self.balancer);
+        let unused = self.dropped.extract_if(.., |backend, _| !balancer.uses(*backend));
         for (backend, id) in unused.collect::<Vec<_>>() {
-            self.names().gone(&id);
+            self.registry().remove(&id);
             self.backends.forget(backend);
         }
     }
 
-    fn names(&self) -> MutexGuard<'_, Names> {
-        self.names.lock().unwrap_or_else(PoisonError::into_inner)
+    fn registry(&self) -> MutexGuard<'_, BackendRegistry> {
+        self.registry.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// One entry, with its address in place.
+    /// Parses an entry and records its address.
     fn entry(&mut self, entry: &Value) -> Result<Listed, String> {
-        let instance = Instance::deserialize(entry).map_err(|wrong| wrong.to_string())?;
-        let last = self.names().last(&instance.instance_id);
+        let instance = Instance::deserialize(entry).map_err(|error| error.to_string())?;
+        let last = self.registry().latest(&instance.instance_id);
         let listed = instance.listed(last.backend, &self.zones)?;
         if listed.phase == Phase::Gone {
-            // It may come with its id alone. Its zone and cell still bind what may have run there.
-            self.gone(&instance.instance_id, last.backend);
+            // A removal may contain the id alone. Its zone and cell still matter for requests that may have run
+            // there.
+            self.remove(&instance.instance_id, last.backend);
             return Ok(Listed { phase: Phase::Gone, ..last });
         }
         let address = instance.host_port.parse();
         let address = address.map_err(|_| format!("hostPort {:?}", instance.host_port))?;
-        self.backends.places().listed(listed.backend, address);
+        self.backends.endpoints().set_address(listed.backend, address);
         self.dropped.remove(&listed.backend);
-        self.names().listed(instance.instance_id, listed);
+        self.registry().insert(instance.instance_id, listed);
         Ok(listed)
     }
 
-    /// Takes in the list from before the start, whole and sound or not at all.
-    pub fn known(&mut self, list: &List) -> Result<(), String> {
+    /// Applies the list stored before the start, completely or not at all.
+    pub fn load_known(&mut self, list: &List) -> Result<(), String> {
         let items: Result<Vec<Listed>, String> =
             list.instances.iter().map(|entry| self.entry(entry)).collect();
         self.generation = list.generation;
         let items = items?;
         self.serving(&items);
-        self.decide.list(true, &items);
+        self.balancer.list(true, &items);
         Ok(())
     }
 
-    /// Takes in news. An entry that can't be understood must not keep the others' from us: its backend
-    /// counts as draining until there is better news.
-    fn news(&mut self, list: &List) {
+    /// Applies an update. An invalid entry must not block the others: its backend counts as draining until a
+    /// valid entry arrives.
+    fn update(&mut self, list: &List) {
         let mut items: Vec<Listed> = Vec::new();
         if list.reset {
             let id = |entry| Value::get(entry, "instanceId").and_then(Value::as_str);
             let named: BTreeSet<&str> = list.instances.iter().filter_map(id).collect();
-            let missing = self.names().missing(&named);
-            missing.iter().for_each(|(id, backend)| self.gone(id, *backend));
+            let missing = self.registry().missing(&named);
+            missing.iter().for_each(|(id, backend)| self.remove(id, *backend));
         }
         for entry in &list.instances {
-            items.extend(self.entry(entry).or_else(|wrong| {
-                tracing::warn!(code = "entry_unsound", "{wrong}, in {entry}");
+            items.extend(self.entry(entry).or_else(|error| {
+                tracing::warn!(code = "entry_unsound", "{error}, in {entry}");
                 let id = entry.get("instanceId").and_then(Value::as_str).ok_or(())?;
-                Ok::<_, ()>(Listed { phase: Phase::Terminating, ..self.names().last(id) })
+                Ok::<_, ()>(Listed { phase: Phase::Terminating, ..self.registry().latest(id) })
             }));
         }
         self.generation = list.generation;
         self.serving(&items);
-        self.decide.list(list.reset, &items);
+        self.balancer.list(list.reset, &items);
         self.release_unused();
     }
 
-    /// What waits for its connection is held to the news as well. Whose going binds nobody serves on.
+    /// Updates the serving state, which also applies to executions still waiting for a connection. Removed
+    /// backends keep theirs: removal may not be binding.
     fn serving(&self, items: &[Listed]) {
         for item in items.iter().filter(|item| item.phase != Phase::Gone) {
-            self.backends.places().serving(item.backend, item.phase == Phase::Ready);
+            self.backends.endpoints().set_serving(item.backend, item.phase == Phase::Ready);
         }
     }
 
-    /// Runs for good: the module says when to ask, also how long to wait after a loss. A new address is
-    /// asked at once; until it has told of any, the backends known so far stay.
+    /// Runs forever. The balancer requests each call and sets the backoff after a failure. A new address is
+    /// called at once; until it has sent a list, the backends known so far stay.
     pub fn follow(self, place: watch::Receiver<SocketAddr>, wanted: Arc<Notify>) -> impl Future<Output = ()> {
         let first = *place.borrow();
         self.follow_from(first, place, wanted)
@@ -217,87 +221,94 @@
         mut place: watch::Receiver<SocketAddr>,
         wanted: Arc<Notify>,
     ) {
-        let mut pause = PUSHED[0];
+        let mut backoff = AGENT_BACKOFF[0];
         sleep(self.start.mul_f64(fastrand::f64())).await;
         loop {
             tokio::select! {
                 () = wanted.notified() => {}
                 Ok(()) = place.changed() => {}
             }
-            // Both may have come at once, so that it is not told by which was taken.
+            // Both may be ready at once, so the branch that was taken doesn't show whether the address changed.
             let address = *place.borrow_and_update();
-            self.whole_wanted |= std::mem::replace(&mut last, address) != address;
+            self.full_list_needed |= std::mem::replace(&mut last, address) != address;
             let heard = self.generation;
-            let Lost { failure, why } = tokio::select! {
+            let WatchError { failure, why } = tokio::select! {
                 ended = self.watch(address) => {
                     let Err(lost) = ended;
                     lost
                 }
                 Ok(()) = place.changed() => {
-                    tracing::info!(code = "watch_moved", %address, generation = self.generation, "asked elsewhere");
+                    tracing::info!(code = "watch_moved", %address, generation = self.generation, "discovery address changed");
                     place.mark_changed();
                     continue;
                 }
             };
             tracing::warn!(code = "watch_ended", %address, generation = self.generation, "{why}");
             if self.pushed {
-                pause = if heard == self.generation { (pause * 2).min(PUSHED[1]) } else { PUSHED[0] };
-                sleep(pause).await;
+                backoff = if heard == self.generation {
+                    (backoff * 2).min(AGENT_BACKOFF[1])
+                } else {
+                    AGENT_BACKOFF[0]
+                };
+                sleep(backoff).await;
                 wanted.notify_one();
             } else {
-                self.decide.news(|inbox| inbox.list_failed(failure));
+                self.balancer.notify(|inbox| inbox.list_failed(failure));
             }
         }
     }
 
-    /// A watch's first object or empty line: the next loss is a first one, however long nothing changes until then.
-    /// Its answer's head alone says nothing yet, it may still be given up.
-    fn tells(&self, address: SocketAddr) {
+    /// Called at a watch's first object or empty line: resets the failure count, so that the next failure
+    /// counts as the first, however long the watch is idle before it. The response head alone isn't enough, as
+    /// the watch may still be rejected.
+    fn watch_confirmed(&self, address: SocketAddr) {
         tracing::info!(code = "watch_tells", %address, generation = self.generation, "the list is followed");
-        self.decide.list(false, &[]);
+        self.balancer.list(false, &[]);
     }
 
-    /// One watch, to its end.
-    async fn watch(&mut self, address: SocketAddr) -> Result<Infallible, Lost> {
-        let stream = timeout(OPENED, TcpStream::connect(address)).await;
-        let stream = stream.map_err(|_| Lost::silent("no connection"))?;
-        let stream = stream.map_err(|wrong| Lost::silent(wrong.to_string()))?;
+    /// Runs one watch until it ends.
+    async fn watch(&mut self, address: SocketAddr) -> Result<Infallible, WatchError> {
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
+        let stream = stream.map_err(|_| WatchError::silent("no connection"))?;
+        let stream = stream.map_err(|error| WatchError::silent(error.to_string()))?;
         let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
-        // Ends by itself once the answer below is dropped.
+        // Ends by itself when the response below is dropped.
         tokio::spawn(connection);
-        if self.whole_wanted {
-            let whole = asked(&mut sender, address, "/api/targets".to_owned()).await?.into_body();
-            let whole = timeout(CALL, Limited::new(whole, MOST_TEXT).collect()).await;
-            let whole = whole.map_err(|_| Lost::silent("silent"))?;
-            let whole = whole.map_err(|wrong| Lost::refused(wrong.to_string()))?.to_bytes();
-            let list = understood(&whole).map_err(Lost::refused)?;
-            self.news(&List { reset: true, ..list });
-            self.whole_wanted = false;
+        if self.full_list_needed {
+            let whole = get(&mut sender, address, "/api/targets".to_owned()).await?.into_body();
+            let whole = timeout(RESPONSE_TIMEOUT, Limited::new(whole, MAX_LIST_BYTES).collect()).await;
+            let whole = whole.map_err(|_| WatchError::silent("silent"))?;
+            let whole = whole.map_err(|error| WatchError::refused(error.to_string()))?.to_bytes();
+            let list = parse_list(&whole).map_err(WatchError::refused)?;
+            self.update(&List { reset: true, ..list });
+            self.full_list_needed = false;
             sender.ready().await?;
         }
         let path = format!("/api/targets?watch=1&after={}", self.generation);
-        let mut body = asked(&mut sender, address, path).await?.into_body();
-        let (mut object, mut last, mut told) = (Object::default(), Instant::now(), false);
+        let mut body = get(&mut sender, address, path).await?.into_body();
+        let (mut object, mut last_activity, mut confirmed) = (ObjectParser::default(), Instant::now(), false);
         loop {
-            // Bytes that trickle are no sign of life: only what ends an object, or an empty line between two.
-            let frame = timeout_at(last + SILENT, body.frame()).await.map_err(|_| Lost::silent("silent"))?;
-            let Some(frame) = frame else { return Err(Lost::refused("closed")) };
+            // Single bytes don't reset the timeout: only a complete object or an empty line between two does.
+            let frame = timeout_at(last_activity + WATCH_TIMEOUT, body.frame())
+                .await
+                .map_err(|_| WatchError::silent("silent"))?;
+            let Some(frame) = frame else { return Err(WatchError::refused("closed")) };
             let Ok(data) = frame?.into_data() else { continue };
             for byte in data {
-                if object.takes(byte).map_err(Lost::refused)? {
-                    let list = understood(&object.text).map_err(Lost::refused)?;
+                if object.push(byte).map_err(WatchError::refused)? {
+                    let list = parse_list(&object.text).map_err(WatchError::refused)?;
                     if list.generation < self.generation && !list.reset {
-                        self.whole_wanted = true;
-                        return Err(Lost::refused(format!("went back to {}", list.generation)));
+                        self.full_list_needed = true;
+                        return Err(WatchError::refused(format!("went back to {}", list.generation)));
                     }
-                    self.news(&list);
-                    object = Object::default();
+                    self.update(&list);
+                    object = ObjectParser::default();
                 } else if byte != b'\n' || !object.text.is_empty() {
                     continue;
                 }
-                last = Instant::now();
-                if !std::mem::replace(&mut told, true) {
-                    self.tells(address);
+                last_activity = Instant::now();
+                if !std::mem::replace(&mut confirmed, true) {
+                    self.watch_confirmed(address);
                 }
             }
             self.heard.send_if_modified(|heard| !std::mem::replace(heard, true));
@@ -305,26 +316,26 @@
     }
 }
 
-/// One object of a watch as it comes in: on a line, or indented over several.
+/// Incremental parser for one JSON object of a watch, on one line or indented over several.
 #[derive(Default)]
-struct Object {
+struct ObjectParser {
     text: Vec<u8>,
     depth: usize,
     quoted: bool,
     escaped: bool,
 }
 
-impl Object {
-    /// Takes one byte; whether the object is whole with it. Errors name what can be no part of a list.
-    fn takes(&mut self, byte: u8) -> Result<bool, String> {
+impl ObjectParser {
+    /// Consumes one byte; returns whether the object is complete. Fails on input that can't be part of a list.
+    fn push(&mut self, byte: u8) -> Result<bool, String> {
         if self.text.is_empty() && byte.is_ascii_whitespace() {
             return Ok(false);
         }
         if self.text.is_empty() && byte != b'{' {
-            return Err(format!("not to be understood: {:?} between objects", char::from(byte)));
+            return Err(format!("unexpected {:?} between objects", char::from(byte)));
         }
-        if self.text.len() >= MOST_TEXT {
-            return Err("an object past all bounds".to_owned());
+        if self.text.len() >= MAX_LIST_BYTES {
+            return Err("object is too large".to_owned());
         }
         self.text.push(byte);
         match byte {
@@ -339,23 +350,23 @@
     }
 }
 
-async fn asked(
+async fn get(
     sender: &mut SendRequest<Empty<Bytes>>,
     address: SocketAddr,
     path: String,
-) -> Result<Response<Incoming>, Lost> {
+) -> Result<Response<Incoming>, WatchError> {
     let request = hyper::Request::get(path).header(HOST, address.to_string()).body(Empty::<Bytes>::new());
-    let request = request.map_err(|wrong| Lost::refused(wrong.to_string()))?;
-    let answer = timeout(CALL, sender.send_request(request)).await;
-    let answer = answer.map_err(|_| Lost::silent("no answer"))??;
+    let request = request.map_err(|error| WatchError::refused(error.to_string()))?;
+    let answer = timeout(RESPONSE_TIMEOUT, sender.send_request(request)).await;
+    let answer = answer.map_err(|_| WatchError::silent("no answer"))??;
     match answer.status().is_success() {
         true => Ok(answer),
-        false => Err(Lost::refused(format!("answered {}", answer.status()))),
+        false => Err(WatchError::refused(format!("answered {}", answer.status()))),
     }
 }
 
-fn understood(text: &[u8]) -> Result<List, String> {
-    serde_json::from_slice(text).map_err(|wrong| format!("not to be understood: {wrong}"))
+fn parse_list(text: &[u8]) -> Result<List, String> {
+    serde_json::from_slice(text).map_err(|error| format!("invalid list: {error}"))
 }
 
 #[cfg(test)]
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The proxy's side of the fleet: what is published there is told to the module, and operators' calls are
-//! passed on. Called by `serve` where a fleet file is named, and by `admin`.
+//! Connects the proxy to its fleet: applies published versions to the balancer and forwards operators' calls.
+//! Called by `serve` if a fleet file is configured, and by `admin`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -19,122 +19,132 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::{interval, sleep, timeout, Instant, MissedTickBehavior};
 
-use crate::decide::Decide;
+use crate::balancer::BalancerHandle;
 use crate::in_flight::InFlight;
-use crate::lifecycle::{Lifecycle, Stand};
-use crate::names::{By, Names};
-use crate::reload::Terms;
+use crate::lifecycle::{Lifecycle, LifecycleController};
+use crate::registry::{BackendRegistry, DrainSource};
+use crate::reload::RequestConfig;
 
-/// How often the proxy's own load is looked at, and how many looks make a word on it.
-const LOOK: Duration = Duration::from_millis(100);
-const LOOKS: u32 = 10;
-/// How long a start waits at most until it may send, having acted on what is in force.
-const ACTED: Duration = Duration::from_millis(300);
-const SOON: Duration = Duration::from_millis(2);
-/// For the last word to go.
-const PART: Duration = Duration::from_millis(300);
-/// What calls to the fleet begin with.
+/// Interval of load samples, and how many samples make one report.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
+const SAMPLES_PER_REPORT: u32 = 10;
+/// How long startup waits at most for permission to send, after it has applied the version in force.
+const APPLY_TIMEOUT: Duration = Duration::from_millis(300);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Timeout for sending the leave message.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(300);
+/// First word of fleet calls.
 pub const FLEET: &str = "FLEET";
 
 #[derive(Clone)]
 pub struct Fleet {
     handle: Handle,
     file: FleetFile,
-    names: Arc<Mutex<Names>>,
+    registry: Arc<Mutex<BackendRegistry>>,
     zones: Vec<String>,
 }
 
 impl Fleet {
-    /// `own` is this proxy's name by its configuration, for a file that all share.
-    /// `longest` is the longest that an execution may take.
+    /// `own` is this proxy's name in its configuration, for a fleet file shared by all proxies. `longest` is
+    /// the longest duration of an execution.
     pub fn start(
         path: &Path,
         own: Option<&str>,
         longest: Duration,
-        names: Arc<Mutex<Names>>,
+        registry: Arc<Mutex<BackendRegistry>>,
         zones: Vec<String>,
     ) -> Result<Self, String> {
         let mut file = file::read(path, own)?;
         file.plan.terms.longest_us = longest.as_micros() as u64;
-        Ok(Fleet { handle: run::start(file.clone())?, file, names, zones })
+        Ok(Fleet { handle: run::start(file.clone())?, file, registry, zones })
     }
 
     pub fn right(&self) -> Right {
         self.handle.right.clone()
     }
 
-    /// The fleet reckons with the longest that anything sent from here may take.
-    pub fn terms(&self, mut terms: watch::Receiver<Arc<Terms>>) {
+    /// Keeps the fleet informed of the longest duration of anything sent from here.
+    pub fn follow_request_config(&self, mut request_config: watch::Receiver<Arc<RequestConfig>>) {
         let longest_us = Arc::clone(&self.handle.longest_us);
         tokio::spawn(async move {
             loop {
-                let longest = terms.borrow_and_update().longest();
+                let longest = request_config.borrow_and_update().longest();
                 longest_us.store(longest.as_micros() as u64, Ordering::Relaxed);
-                if terms.changed().await.is_err() {
+                if request_config.changed().await.is_err() {
                     return;
                 }
             }
         });
     }
 
-    /// Drained while the fleet wants it, for work on this proxy; tells when nothing is in hand any more.
-    pub async fn drains(self, stand: Stand, decide: Arc<Decide>) {
-        let (mut drain, in_flight) = (self.handle.drain.clone(), decide.in_flight().unwrap_or_default());
+    /// Drains this proxy while the fleet requests it for work on it, and reports when nothing is in flight any
+    /// more.
+    pub async fn follow_drain(self, controller: LifecycleController, balancer: Arc<BalancerHandle>) {
+        let (mut drain, in_flight) = (self.handle.drain.clone(), balancer.in_flight().unwrap_or_default());
         loop {
             let wanted = *drain.borrow_and_update();
-            stand.by_fleet(wanted);
+            controller.set_fleet_drain(wanted);
             self.handle.tell(Call::Empty(wanted && in_flight.empty()));
             tokio::select! {
                 changed = drain.changed() => if changed.is_err() { return },
-                () = sleep(LOOK), if wanted => {}
+                () = sleep(SAMPLE_INTERVAL), if wanted => {}
             }
         }
     }
 
-    /// The process ends, and has answered all that it took: the fleet need not wait for it.
-    pub async fn part(&self) {
+    /// Tells the fleet that the process ends and has answered everything, so that the fleet need not wait for
+    /// it.
+    pub async fn leave(&self) {
         let (done, said) = oneshot::channel();
         self.handle.tell(Call::Part(done));
-        let _ = timeout(PART, said).await;
+        let _ = timeout(LEAVE_TIMEOUT, said).await;
     }
 
-    /// Takes what is in force before any query comes, as far as it can be heard of in time, then follows it.
-    pub async fn follow(&self, decide: Arc<Decide>) {
-        let names = Arc::clone(&self.names);
+    /// Applies the version in force before the first query, if it arrives in time, then follows all later ones.
+    pub async fn follow(&self, balancer: Arc<BalancerHandle>) {
+        let registry = Arc::clone(&self.registry);
         let (mut heard, mut taken) = (self.handle.heard.clone(), self.handle.taken.clone());
         let wait = Duration::from_micros(self.file.wait_us);
         let heard = matches!(timeout(wait, heard.wait_for(|heard| *heard)).await, Ok(Ok(_)));
-        let in_flight = decide.in_flight().unwrap_or_default();
+        let in_flight = balancer.in_flight().unwrap_or_default();
         let (zones, handle) = (self.zones.clone(), self.handle.clone());
-        let mut outs = Outs { decide, names, in_flight, zones, handle, told: Default::default() };
-        let version = taken.borrow_and_update().clone().map(|publication| outs.apply(&publication));
-        // It may send once the fleet's part has heard that the version is acted on.
-        let soon = Instant::now() + ACTED;
-        while heard && !self.handle.right.lasts() && Instant::now() < soon {
-            sleep(SOON).await;
+        let mut drains =
+            FleetDrains { balancer, registry, in_flight, zones, handle, reported: Default::default() };
+        let version = taken.borrow_and_update().clone().map(|publication| drains.apply(&publication));
+        // Sending is permitted once the fleet has learnt that this version was applied.
+        let deadline = Instant::now() + APPLY_TIMEOUT;
+        while heard && !self.handle.right.lasts() && Instant::now() < deadline {
+            sleep(POLL_INTERVAL).await;
         }
         match (heard, version) {
             (true, version) => {
                 tracing::info!(
                     code = "fleet_version",
                     version = version.unwrap_or(0),
-                    "in force for the fleet"
+                    "fleet version applied"
                 );
             }
             (false, Some(version)) => {
-                tracing::warn!(code = "fleet_unheard", version, "serves by the version on its own disk");
+                tracing::warn!(
+                    code = "fleet_unheard",
+                    version,
+                    "fleet unreachable, serving with the stored version"
+                );
             }
             (false, None) if !self.handle.right.lasts() => {
-                tracing::warn!(code = "fleet_unheard", "turns queries away until the fleet is heard");
+                tracing::warn!(
+                    code = "fleet_unheard",
+                    "fleet unreachable, rejecting queries until it responds"
+                );
             }
             (false, None) => {
-                tracing::warn!(code = "fleet_unheard", "serves without any version of the fleet's")
+                tracing::warn!(code = "fleet_unheard", "fleet unreachable, serving without a fleet version")
             }
         }
         tokio::spawn(async move {
-            let mut looks = interval(LOOK);
-            looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-            let mut sight = Seeing::default();
+            let mut samples = interval(SAMPLE_INTERVAL);
+            samples.set_missed_tick_behavior(MissedTickBehavior::Delay);
+            let mut sampler = LoadSampler::default();
             loop {
                 tokio::select! {
                     changed = taken.changed() => {
@@ -143,14 +153,14 @@
                         }
                         let publication = taken.borrow_and_update().clone();
                         if let Some(publication) = publication {
-                            outs.apply(&publication);
+                            drains.apply(&publication);
                         }
                     }
-                    // Something has come to nothing: perhaps at a machine that is waited for.
-                    () = outs.in_flight.ended.notified() => outs.tell_busy(false),
-                    _ = looks.tick() => {
-                        if let Some(view) = sight.look(&outs) {
-                            outs.handle.tell(Call::View(view));
+                    // A count dropped to zero, possibly at a machine whose work waits for it.
+                    () = drains.in_flight.ended.notified() => drains.tell_busy(false),
+                    _ = samples.tick() => {
+                        if let Some(view) = sampler.sample(&drains) {
+                            drains.handle.tell(Call::View(view));
                         }
                     }
                 }
@@ -158,8 +168,8 @@
         });
     }
 
-    /// A proxy that is drained or ends owns nothing.
-    pub async fn turns(self, mut lifecycle: watch::Receiver<Lifecycle>) {
+    /// Tells the fleet whether this proxy may own duties: not while it is drained or ending.
+    pub async fn report_willingness(self, mut lifecycle: watch::Receiver<Lifecycle>) {
         loop {
             let now = *lifecycle.borrow_and_update();
             match now {
@@ -172,7 +182,7 @@
         }
     }
 
-    /// One call of an operator's: what stands behind YES, or behind NO.
+    /// Handles an operator's call; returns the text after YES, or after NO.
     pub async fn call(&self, words: Vec<&str>, patience: Duration) -> Result<String, String> {
         let ask = match words.split_first() {
             Some((&"STATUS", [])) => Ask::Status,
@@ -188,32 +198,32 @@
             Told::Done(Outcome::Version(version)) => Ok(json!({ "version": version }).to_string()),
             Told::Done(Outcome::Refused(why)) | Told::NotNow(why) => Err(why),
             Told::Done(_) | Told::Work(_) => Ok(String::new()),
-            Told::Status(status) => serde_json::to_string(&status).map_err(|wrong| wrong.to_string()),
+            Told::Status(status) => serde_json::to_string(&status).map_err(|error| error.to_string()),
         }
     }
 }
 
 impl Fleet {
-    /// Calls on work plans.
+    /// Handles calls on work plans.
     async fn work(&self, words: &[&str], patience: Duration) -> Result<String, String> {
         let id = |text: &str| u128::from_str_radix(text, 16).map_err(|_| format!("no call's id in {text:?}"));
-        let say = |say, name: &str| Order::Say { name: name.to_owned(), say };
+        let directive = |say, name: &str| Order::Say { name: name.to_owned(), say };
         let (id, order) = match words {
             ["SHOW"] => {
                 return match self.handle.ask(Ask::Work, patience).await {
-                    Told::Work(work) => serde_json::to_string(&*work).map_err(|wrong| wrong.to_string()),
+                    Told::Work(work) => serde_json::to_string(&*work).map_err(|error| error.to_string()),
                     Told::NotNow(why) => Err(why),
                     _ => Err("no answer to that call".into()),
                 }
             }
             ["ADD", call, text @ ..] if !text.is_empty() => {
                 let draft: Draft =
-                    serde_json::from_str(&text.join(" ")).map_err(|wrong| wrong.to_string())?;
+                    serde_json::from_str(&text.join(" ")).map_err(|error| error.to_string())?;
                 (id(call)?, self.plan(draft)?)
             }
-            ["PAUSE", call, name] => (id(call)?, say(Say::Pause, name)),
-            ["RESUME", call, name] => (id(call)?, say(Say::Resume, name)),
-            ["CANCEL", call, name] => (id(call)?, say(Say::Cancel, name)),
+            ["PAUSE", call, name] => (id(call)?, directive(Say::Pause, name)),
+            ["RESUME", call, name] => (id(call)?, directive(Say::Resume, name)),
+            ["CANCEL", call, name] => (id(call)?, directive(Say::Cancel, name)),
             ["DONE", call, machine] => {
                 (id(call)?, Order::Ended { machine: (*machine).to_owned(), well: true })
             }
@@ -230,101 +240,105 @@
         }
     }
 
-    /// A plan with its machines by name, zone and cell, as this proxy's list has them now.
+    /// Resolves a plan's machines by name, zone and cell, against this proxy's current list.
     fn plan(&self, draft: Draft) -> Result<Order, String> {
-        let names = self.names.lock().unwrap_or_else(PoisonError::into_inner);
+        let registry = self.registry.lock().unwrap_or_else(PoisonError::into_inner);
         let zone = |number: u32| self.zones.get(number as usize).cloned().unwrap_or_default();
         let listed: Vec<(String, String, u32)> =
-            names.all().map(|(id, one)| (id.clone(), zone(one.zone), one.cell)).collect();
-        drop(names);
+            registry.iter().map(|(id, one)| (id.clone(), zone(one.zone), one.cell)).collect();
+        drop(registry);
         let (name, plan) = draft.plan(&listed, &self.file.plan.voters)?;
         Ok(Order::Add { name, plan: Box::new(plan) })
     }
 }
 
-/// How this proxy's load has been, looked at a few times for each word on it.
+/// Averages this proxy's load over several samples for each report.
 #[derive(Default)]
-struct Seeing {
-    looks: u32,
+struct LoadSampler {
+    samples: u32,
     loads: BTreeMap<u32, f64>,
     taken: u64,
-    turned: u64,
+    rejected: u64,
 }
 
-impl Seeing {
-    /// Called each `LOOK`; a word on it comes once enough looks are in.
-    fn look(&mut self, outs: &Outs) -> Option<View> {
-        let (rooms, taken, turned) = outs.decide.look();
-        (self.looks, self.taken, self.turned) = (self.looks + 1, self.taken + taken, self.turned + turned);
-        for room in &rooms {
-            *self.loads.entry(room.backend).or_default() += room.load;
+impl LoadSampler {
+    /// Takes a sample; returns a report once there are enough.
+    fn sample(&mut self, drains: &FleetDrains) -> Option<View> {
+        let (capacities, taken, rejected) = drains.balancer.take_load_sample();
+        (self.samples, self.taken, self.rejected) =
+            (self.samples + 1, self.taken + taken, self.rejected + rejected);
+        for capacity in &capacities {
+            *self.loads.entry(capacity.backend).or_default() += capacity.load;
         }
-        if self.looks < LOOKS {
+        if self.samples < SAMPLES_PER_REPORT {
             return None;
         }
-        let seen = std::mem::take(self);
-        let (looks, seconds) = (f64::from(seen.looks), LOOK.as_secs_f64() * f64::from(seen.looks));
-        let names = outs.names();
+        let sampled = std::mem::take(self);
+        let (samples, seconds) =
+            (f64::from(sampled.samples), SAMPLE_INTERVAL.as_secs_f64() * f64::from(sampled.samples));
+        let registry = drains.registry();
         let ids: BTreeMap<u32, (&String, &Listed)> =
-            names.all().map(|(id, listed)| (listed.backend, (id, listed))).collect();
+            registry.iter().map(|(id, listed)| (listed.backend, (id, listed))).collect();
         let mut view = View {
-            queries: Quantized::of(seen.taken as f64 / seconds),
-            rejected: Quantized::of(seen.turned as f64 / seconds),
+            queries: Quantized::of(sampled.taken as f64 / seconds),
+            rejected: Quantized::of(sampled.rejected as f64 / seconds),
             ..View::default()
         };
-        for room in rooms.iter().filter(|room| room.ready) {
-            let Some((id, _)) = ids.get(&room.backend) else { continue };
-            let load = seen.loads.get(&room.backend).copied().unwrap_or(0.0) / looks;
-            let zone = outs.zones.get(room.zone as usize).cloned().unwrap_or_default();
-            let (load, max) = (Quantized::of(load), Quantized::of(room.max));
-            view.backends
-                .insert((*id).clone(), BackendView { zone, cell: room.cell, load, max, lost: room.lost });
+        for capacity in capacities.iter().filter(|capacity| capacity.ready) {
+            let Some((id, _)) = ids.get(&capacity.backend) else { continue };
+            let load = sampled.loads.get(&capacity.backend).copied().unwrap_or(0.0) / samples;
+            let zone = drains.zones.get(capacity.zone as usize).cloned().unwrap_or_default();
+            let (load, max) = (Quantized::of(load), Quantized::of(capacity.max));
+            view.backends.insert(
+                (*id).clone(),
+                BackendView { zone, cell: capacity.cell, load, max, lost: capacity.lost },
+            );
         }
         Some(view)
     }
 }
 
-/// Backends out for the whole fleet, told to the module as a call by hand would be.
-struct Outs {
-    decide: Arc<Decide>,
-    names: Arc<Mutex<Names>>,
+/// Applies the fleet's drained backends to the balancer, like manual drains.
+struct FleetDrains {
+    balancer: Arc<BalancerHandle>,
+    registry: Arc<Mutex<BackendRegistry>>,
     in_flight: Arc<InFlight>,
     zones: Vec<String>,
     handle: Handle,
-    told: (u64, BTreeSet<String>),
+    reported: (u64, BTreeSet<String>),
 }
 
-impl Outs {
-    /// The version acted on, and at which of those out something is still in hand.
-    fn tell_busy(&mut self, news: bool) {
-        let names = self.names();
-        let out = names.all_out(By::Fleet).into_iter();
-        let busy = self.in_flight.busy(out.map(|id| (id.clone(), names.last(&id).backend)));
-        drop(names);
-        if news || busy != self.told.1 {
-            self.told.1 = busy.clone();
-            self.handle.tell(Call::Acted { version: self.told.0, busy });
+impl FleetDrains {
+    /// Reports the applied version, and which drained backends still have requests in flight.
+    fn tell_busy(&mut self, version_changed: bool) {
+        let registry = self.registry();
+        let out = registry.drained(DrainSource::Fleet).into_iter();
+        let busy = self.in_flight.busy(out.map(|id| (id.clone(), registry.latest(&id).backend)));
+        drop(registry);
+        if version_changed || busy != self.reported.1 {
+            self.reported.1 = busy.clone();
+            self.handle.tell(Call::Acted { version: self.reported.0, busy });
         }
     }
 
     fn apply(&mut self, publication: &Publication) -> u64 {
-        let before: BTreeSet<String> = self.names().all_out(By::Fleet).into_iter().collect();
+        let before: BTreeSet<String> = self.registry().drained(DrainSource::Fleet).into_iter().collect();
         for (ids, out) in [(&publication.outs - &before, true), (&before - &publication.outs, false)] {
             for id in ids {
-                let changed = self.names().set(&id, By::Fleet, out);
+                let changed = self.registry().set_drain(&id, DrainSource::Fleet, out);
                 let code = if out { "out_by_fleet" } else { "back_by_fleet" };
-                tracing::info!(code, id, version = publication.version, "published for the fleet");
+                tracing::info!(code, id, version = publication.version, "drain state changed by the fleet");
                 if let Some(number) = changed {
-                    self.decide.by_hand(number, out);
+                    self.balancer.set_manual_drain(number, out);
                 }
             }
         }
-        self.told.0 = publication.version;
+        self.reported.0 = publication.version;
         self.tell_busy(true);
         publication.version
     }
 
-    fn names(&self) -> std::sync::MutexGuard<'_, Names> {
-        self.names.lock().unwrap_or_else(PoisonError::into_inner)
+    fn registry(&self) -> std::sync::MutexGuard<'_, BackendRegistry> {
+        self.registry.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -1,4 +1,4 @@
-//! Takes clients' connections, within a budget of descriptors, until it is told to stop.
+//! Accepts and serves client connections, within a budget of descriptors, until the process ends.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -21,8 +21,8 @@
 use bytes::BytesMut;
 use crankpick_http::body::Guarded;
 use crankpick_http::framing::Framing;
-use crankpick_http::stall::Stall;
 use crankpick_http::stream::{linger, poll_write};
+use crankpick_http::write_timeout::WriteTimeout;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -34,72 +34,73 @@
 use tokio::time::{sleep, sleep_until, Instant};
 use tower_service::Service;
 
-use crate::lifecycle::{Lifecycle, Stand, LATE};
+use crate::lifecycle::{Lifecycle, LifecycleController, ACCEPT_AFTER_TERM};
+use crate::permits::cede_half;
 use crate::query::{answer, plain, Proxy};
-use crate::share::halve;
-
-/// Against clients that open a connection and never say anything.
-const SILENT: Duration = Duration::from_millis(2_200);
-/// Against those that keep one for good. Each end may cross a request, so it is not sooner: where connections
-/// are many they end for room.
-const RESTED: Duration = Duration::from_secs(6);
-/// Against heads that never end; from the opening a little longer.
-const HEAD: Duration = Duration::from_millis(2_500);
-const FIRST: Duration = Duration::from_millis(2_800);
-/// Against clients that don't read their answers.
-const UNREAD: Duration = Duration::from_secs(6);
-/// How often one that leaves is looked at again while something lies in its socket.
-const LOOK: Duration = Duration::from_millis(20);
-/// Who connects asks right away: one that has not by then is the first to make room.
-const YOUNG: Duration = Duration::from_millis(5);
-/// Connections ended together where there is no room.
-const AT_ONCE: usize = 4;
-/// Of a connection's buffer: heads are small, and many connections share the memory.
-const MOST_BUFFER: usize = 32 << 10;
-/// Of what is read behind a request in hand, only to find out whether its client is still there: by one connection,
-/// and of the memory by all together.
-const MOST_AHEAD: usize = 256 << 10;
-const AHEAD: usize = 16;
-const PART: usize = 4 << 10;
-
-pub fn router(proxy: Arc<Proxy>, stand: Stand) -> Router {
-    let ready = |State(stand): State<Stand>| async move {
-        match stand.ready() {
+
+/// Timeout for clients that connect and send nothing.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_200);
+/// Idle timeout between requests, against clients that keep a connection forever. Not shorter, as closing may
+/// race with a request; when there are many connections, idle ones are closed to make room.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(6);
+/// Timeout for incomplete request heads; the first one counts from the opening and gets a little longer.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2_500);
+const FIRST_HEAD_TIMEOUT: Duration = Duration::from_millis(2_800);
+/// Timeout for clients that don't read their responses.
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(6);
+/// Interval at which a closing connection is checked again while unread bytes are in its socket.
+const CLOSE_RETRY: Duration = Duration::from_millis(20);
+/// Clients send their first request right after connecting: a connection without one after this time is the
+/// first to be closed to make room.
+const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(5);
+/// Number of connections closed together to make room.
+const CLOSE_BATCH: usize = 4;
+/// Maximum buffer of a connection: heads are small, and many connections share the memory.
+const MAX_BUFFER: usize = 32 << 10;
+/// Limits on reading ahead of the request in flight, which is done only to detect whether its client is still
+/// connected: bytes per connection, and the fraction of the memory for all connections together.
+const MAX_READ_AHEAD: usize = 256 << 10;
+const READ_AHEAD_DIVISOR: usize = 16;
+const READ_CHUNK: usize = 4 << 10;
+
+pub fn router(proxy: Arc<Proxy>, controller: LifecycleController) -> Router {
+    let ready = |State(controller): State<LifecycleController>| async move {
+        match controller.ready() {
             Ok(()) => plain(StatusCode::OK, "ready"),
             Err(why) => plain(StatusCode::SERVICE_UNAVAILABLE, &why),
         }
     };
-    let ready = any(ready).with_state(stand);
+    let ready = any(ready).with_state(controller);
     Router::new().route("/-/ready", ready).fallback(answer).with_state(proxy)
 }
 
-/// What is known of each open connection.
+/// State of an open connection.
 struct Client {
     opened: Instant,
-    /// None while a request is in hand.
+    /// None while a request is in flight.
     idle_since: Mutex<Option<Instant>>,
-    asked: AtomicBool,
-    asked_to_end: AtomicBool,
-    /// Whether some of an answer could not be written yet.
-    behind: AtomicBool,
-    /// Whether it is to end as soon as nothing is in hand, and nothing more lies in its socket.
-    leaving: AtomicBool,
+    has_requested: AtomicBool,
+    evicted: AtomicBool,
+    /// Whether part of a response is still waiting to be written.
+    write_pending: AtomicBool,
+    /// Whether to close as soon as nothing is in flight and the socket holds no unread bytes.
+    closing: AtomicBool,
     end: Notify,
     framing: Mutex<Framing>,
     stream: TcpStream,
-    ahead: Mutex<Ahead>,
-    /// What all connections may still read ahead.
+    ahead: Mutex<ReadAhead>,
+    /// Bytes that all connections together may still read ahead.
     room: Arc<AtomicUsize>,
 }
 
-/// What came behind a request in hand. hyper reads no further while it holds bytes of the next one, so that the end
-/// of the client's sending would lie unseen behind them for as long as the request is in hand.
+/// Bytes received after the request in flight. hyper stops reading while it holds bytes of the next request, so
+/// a client's disconnect behind them would not be noticed until the request in flight ends.
 #[derive(Default)]
-struct Ahead {
+struct ReadAhead {
     bytes: BytesMut,
-    /// The client's sending has ended, or broken off: it has gone.
+    /// The client has closed or reset the connection.
     ended: bool,
-    /// hyper waits for more, and will see the end itself.
+    /// hyper is waiting for input and will see the end itself.
     awaited: bool,
 }
 
@@ -123,17 +124,18 @@
         self.framing.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn may_read_ahead(&self, ahead: &Ahead) -> bool {
-        ahead.bytes.len() < MOST_AHEAD && self.room.load(Ordering::Relaxed) >= PART
+    fn may_read_ahead(&self, ahead: &ReadAhead) -> bool {
+        ahead.bytes.len() < MAX_READ_AHEAD && self.room.load(Ordering::Relaxed) >= READ_CHUNK
     }
 
-    fn ahead(&self) -> MutexGuard<'_, Ahead> {
+    fn ahead(&self) -> MutexGuard<'_, ReadAhead> {
         self.ahead.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reads on behind what hyper has, as far as there is something and room; whether the client has gone.
-    fn read_ahead(&self, mut read: impl FnMut(&mut [u8]) -> io::Result<usize>) -> MutexGuard<'_, Ahead> {
-        let (mut ahead, mut part) = (self.ahead(), [0; PART]);
+    /// Reads beyond what hyper has read, as far as there are bytes and room, to detect whether the client
+    /// disconnected.
+    fn read_ahead(&self, mut read: impl FnMut(&mut [u8]) -> io::Result<usize>) -> MutexGuard<'_, ReadAhead> {
+        let (mut ahead, mut part) = (self.ahead(), [0; READ_CHUNK]);
         while !ahead.ended && self.may_read_ahead(&ahead) {
             match read(&mut part) {
                 Ok(0) => ahead.ended = true,
@@ -142,21 +144,22 @@
                     ahead.bytes.extend_from_slice(&part[..length]);
                     self.room.fetch_sub(length, Ordering::Relaxed);
                 }
-                Err(wrong) if wrong.kind() == io::ErrorKind::WouldBlock => break,
-                Err(wrong) if wrong.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => ahead.ended = true,
             }
         }
         ahead
     }
 
-    /// Whether its client has gone, by what the kernel has: the runtime may not have been told yet.
-    fn gone(&self) -> bool {
+    /// Whether the client has disconnected according to the kernel: the runtime may not have been notified yet.
+    fn disconnected(&self) -> bool {
         self.read_ahead(|part| (&*SockRef::from(&self.stream)).read(part)).ended
     }
 
-    /// Comes once its client goes where hyper would not notice. To be polled after hyper, in the same task.
-    fn poll_gone(&self, cx: &mut Context<'_>) -> Poll<()> {
+    /// Completes when the client disconnects at a time when hyper would not notice. Must be polled after hyper,
+    /// in the same task.
+    fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
         if self.idle().is_some() || self.ahead().awaited {
             return Poll::Pending;
         }
@@ -169,10 +172,10 @@
         Poll::Pending
     }
 
-    /// The same past what may be read ahead, where only the socket's own word is left.
-    async fn hangs_up(&self) {
+    /// Detects a disconnect when the read-ahead limit is reached and only the socket's state is left to check.
+    async fn socket_closed(&self) {
         loop {
-            sleep(LOOK).await;
+            sleep(CLOSE_RETRY).await;
             let ready = self.stream.ready(Interest::READABLE).await;
             let broken = SockRef::from(&self.stream).take_error();
             if ready.is_ok_and(|ready| ready.is_read_closed()) || !matches!(broken, Ok(None)) {
@@ -181,23 +184,24 @@
         }
     }
 
-    /// When it will have said nothing for too long, or not ended what it says; none while a query is in hand.
-    fn patience(&self) -> Option<Instant> {
-        let since = self.idle().filter(|_| !self.behind.load(Ordering::Relaxed))?;
+    /// When the client will have been silent, or its request head incomplete, for too long; None while a query
+    /// is in flight.
+    fn silence_deadline(&self) -> Option<Instant> {
+        let since = self.idle().filter(|_| !self.write_pending.load(Ordering::Relaxed))?;
         let head = self.framing().head_since();
-        let (rest, most) = match self.asked.load(Ordering::Relaxed) {
-            true => (RESTED, None),
-            false => (SILENT, Some(self.opened + FIRST)),
+        let (rest, most) = match self.has_requested.load(Ordering::Relaxed) {
+            true => (IDLE_TIMEOUT, None),
+            false => (FIRST_REQUEST_TIMEOUT, Some(self.opened + FIRST_HEAD_TIMEOUT)),
         };
-        let until = head.map_or(since + rest, |head| head + HEAD);
+        let until = head.map_or(since + rest, |head| head + HEAD_TIMEOUT);
         Some(most.map_or(until, |most| until.min(most)))
     }
 }
 
-/// Held by an answer's body: its client is idle once it is through.
-struct Answering(Arc<Client>);
+/// Attached to a response body: marks the client as idle once the body was sent.
+struct IdleOnDrop(Arc<Client>);
 
-impl Drop for Answering {
+impl Drop for IdleOnDrop {
     fn drop(&mut self) {
         self.0.set_idle(Some(Instant::now()));
     }
@@ -209,57 +213,59 @@
 }
 
 impl Clients {
-    /// Makes room for a few at once, as they come by hundreds: first those that never asked, but for the
-    /// youngest, which may be about to; then those that have been idle for longest.
-    fn end_some_idle(&self) {
+    /// Closes a few connections at once, since new ones arrive by the hundreds: first those that never sent a
+    /// request, except the youngest, which may be about to; then those idle for longest.
+    fn close_some_idle(&self) {
         let open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
-        let idle = open.values().filter(|client| !client.asked_to_end.load(Ordering::Relaxed));
+        let idle = open.values().filter(|client| !client.evicted.load(Ordering::Relaxed));
         let idle = idle.filter_map(|client| {
-            client.idle().map(|since| (client.asked.load(Ordering::Relaxed), since, client))
+            client.idle().map(|since| (client.has_requested.load(Ordering::Relaxed), since, client))
         });
-        let mut idle: Vec<_> = idle.filter(|(asked, since, _)| *asked || since.elapsed() > YOUNG).collect();
-        idle.sort_by_key(|(asked, since, _)| (*asked, *since));
-        for (_, _, client) in idle.into_iter().take(AT_ONCE) {
-            client.asked_to_end.store(true, Ordering::Relaxed);
+        let mut idle: Vec<_> = idle
+            .filter(|(has_requested, since, _)| *has_requested || since.elapsed() > FIRST_REQUEST_GRACE)
+            .collect();
+        idle.sort_by_key(|(has_requested, since, _)| (*has_requested, *since));
+        for (_, _, client) in idle.into_iter().take(CLOSE_BATCH) {
+            client.evicted.store(true, Ordering::Relaxed);
             client.end.notify_one();
         }
     }
 }
 
-/// A client's connection that ends where nothing of an answer can be written for too long.
-struct Patient {
-    stall: Stall,
+/// I/O of a client connection; fails when no byte of a response can be written for too long.
+struct ClientIo {
+    write_timeout: WriteTimeout,
     client: Arc<Client>,
 }
 
-impl Patient {
-    /// Whether it leaves, at rest. A request may lie in the socket that nobody was told of, above all where this
-    /// process stood still for a while: such a one is taken, and ending the connection would lose it.
-    fn over(&self) -> bool {
-        let overdue = || self.client.patience().is_some_and(|until| until <= Instant::now());
+impl ClientIo {
+    /// Whether to close now. The socket may hold a request that the runtime has not been notified of,
+    /// especially after the process was suspended: it is accepted, as closing the connection would lose it.
+    fn should_close(&self) -> bool {
+        let overdue = || self.client.silence_deadline().is_some_and(|until| until <= Instant::now());
         let rests = || {
-            let idle = self.client.idle().is_some() && !self.client.behind.load(Ordering::Relaxed);
+            let idle = self.client.idle().is_some() && !self.client.write_pending.load(Ordering::Relaxed);
             idle && (self.client.framing().head_since().is_none() || overdue())
         };
         let empty = || {
             let looked = SockRef::from(&self.client.stream).peek(&mut [MaybeUninit::uninit()]);
             self.client.ahead().bytes.is_empty() && !matches!(looked, Ok(1..))
         };
-        self.client.leaving.load(Ordering::Relaxed) && rests() && empty()
+        self.client.closing.load(Ordering::Relaxed) && rests() && empty()
     }
 
     fn wrote<T>(&mut self, cx: &mut Context<'_>, written: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
-        let written = self.stall.wrote(cx, written);
-        let was_behind = self.client.behind.swap(written.is_pending(), Ordering::Relaxed);
-        if was_behind && written.is_ready() && self.client.idle().is_some() {
-            // Its rest begins once it has caught up.
+        let written = self.write_timeout.check(cx, written);
+        let was_pending = self.client.write_pending.swap(written.is_pending(), Ordering::Relaxed);
+        if was_pending && written.is_ready() && self.client.idle().is_some() {
+            // Its idle time begins once all output is written.
             self.client.set_idle(Some(Instant::now()));
         }
         written
     }
 }
 
-impl AsyncRead for Patient {
+impl AsyncRead for ClientIo {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let client = &self.client;
         let mut ahead = client.ahead();
@@ -276,8 +282,8 @@
         loop {
             let read = match client.stream.poll_read_ready(cx)? {
                 Poll::Ready(()) => client.stream.try_read(buf.initialize_unfilled()),
-                Poll::Pending if self.over() => {
-                    // An end of input is what makes hyper let go of a connection at rest.
+                Poll::Pending if self.should_close() => {
+                    // Reporting the end of input makes hyper close an idle connection.
                     return Poll::Ready(Ok(()));
                 }
                 Poll::Pending => {
@@ -292,14 +298,14 @@
                     buf.advance(length);
                     return Poll::Ready(Ok(()));
                 }
-                Err(wrong) if wrong.kind() == io::ErrorKind::WouldBlock => {}
-                Err(wrong) => return Poll::Ready(Err(wrong)),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                Err(error) => return Poll::Ready(Err(error)),
             }
         }
     }
 }
 
-impl Patient {
+impl ClientIo {
     fn write(
         &mut self,
         cx: &mut Context<'_>,
@@ -310,7 +316,7 @@
     }
 }
 
-impl AsyncWrite for Patient {
+impl AsyncWrite for ClientIo {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.write(cx, |stream| stream.try_write(buf))
     }
@@ -328,7 +334,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // All that is written is with the kernel, which holds nothing back.
+        // All written bytes are already in the kernel.
         Poll::Ready(Ok(()))
     }
 
@@ -337,47 +343,47 @@
     }
 }
 
-/// Accepts until the process is to end and a little longer, then waits for all connections to end.
-/// Past `easy` open ones idle ones end already: whoever deals out connections may count those that nobody
-/// uses against those that ask.
+/// Accepts connections until the process ends and a little longer, then waits for all of them to end. Above
+/// `early_close_above` open connections idle ones are closed early: a connection-level load balancer may count unused
+/// connections like active ones.
 pub async fn run(
     listener: TcpListener,
     router: Router,
     budget: usize,
-    easy: usize,
+    early_close_above: usize,
     memory: usize,
     lifecycle: watch::Receiver<Lifecycle>,
     others: watch::Receiver<usize>,
 ) {
-    let ahead = Arc::new(AtomicUsize::new(memory / AHEAD));
+    let ahead = Arc::new(AtomicUsize::new(memory / READ_AHEAD_DIVISOR));
     let clients = Arc::new(Clients::default());
     let room = Arc::new(Semaphore::new(budget));
     let leave_room = {
         let clients = Arc::clone(&clients);
-        halve(others.clone(), Arc::clone(&room), budget, move || clients.end_some_idle())
+        cede_half(others.clone(), Arc::clone(&room), budget, move || clients.close_some_idle())
     };
     let leave_room = tokio::spawn(leave_room);
     let mut number = 0;
-    let mut told = lifecycle.clone();
+    let mut lifecycle_now = lifecycle.clone();
     let mut late = Box::pin(async {
-        let _ = told.wait_for(|lifecycle| matches!(lifecycle, Lifecycle::Ending(_))).await;
-        // Where another process accepts from the same socket it takes all that comes from now on.
+        let _ = lifecycle_now.wait_for(|lifecycle| matches!(lifecycle, Lifecycle::Ending(_))).await;
+        // Another process that accepts from the same socket takes all connections from now on.
         if *others.borrow() == 0 {
-            sleep(LATE).await;
+            sleep(ACCEPT_AFTER_TERM).await;
         }
     });
     let mut take = |stream: TcpStream, address: SocketAddr, permit: OwnedSemaphorePermit| {
-        if budget.saturating_sub(room.available_permits()) > easy {
-            clients.end_some_idle();
+        if budget.saturating_sub(room.available_permits()) > early_close_above {
+            clients.close_some_idle();
         }
         number += 1;
         let client = Arc::new(Client {
             opened: Instant::now(),
             idle_since: Mutex::new(Some(Instant::now())),
-            asked: AtomicBool::new(false),
-            asked_to_end: AtomicBool::new(false),
-            behind: AtomicBool::new(false),
-            leaving: AtomicBool::new(false),
+            has_requested: AtomicBool::new(false),
+            evicted: AtomicBool::new(false),
+            write_pending: AtomicBool::new(false),
+            closing: AtomicBool::new(false),
             end: Notify::new(),
             framing: Mutex::new(Framing::new()),
             stream,
@@ -388,14 +394,14 @@
         let (clients, router, lifecycle) = (Arc::clone(&clients), router.clone(), lifecycle.clone());
         tokio::spawn(async move {
             let opened = Instant::now();
-            let code = hold(&client, router, lifecycle).await;
+            let code = serve_connection(&client, router, lifecycle).await;
             clients.open.lock().unwrap_or_else(PoisonError::into_inner).remove(&number);
             let open_ms = opened.elapsed().as_millis() as u64;
             tracing::info!(code, %address, open_ms, "client connection ended");
             match code {
-                // To a client of HTTP/1.0 an end in order would say that the answer is whole.
+                // An orderly close would tell an HTTP/1.0 client that the truncated response is complete.
                 "cut_off" => drop(SockRef::from(&client.stream).set_linger(Some(Duration::ZERO))),
-                // Its place is wanted now, and its last answer went long ago.
+                // Its descriptor is needed now, and its last response was sent long ago.
                 "over_budget" => {}
                 _ => linger(&client.stream).await,
             }
@@ -411,7 +417,8 @@
         let (stream, address, permit) = accepted;
         take(stream, address, permit);
     }
-    // What the kernel has taken up for us by now would be reset with the listener. Another process would take it.
+    // Connections in the kernel's accept queue would be reset when the listener closes, unless another process
+    // accepts them.
     if let Some(last) = listener.into_std().ok().filter(|_| *others.borrow() == 0) {
         while let Ok(permit) = Arc::clone(&room).try_acquire_owned() {
             let accepted = last.accept().and_then(|(stream, address)| {
@@ -427,7 +434,7 @@
     let _ = room.acquire_many(budget as u32).await;
 }
 
-/// The next connection. What goes wrong here passes: no error may end the loop.
+/// Accepts the next connection. Errors here are transient and must not end the loop.
 async fn accept(
     listener: &TcpListener,
     room: &Arc<Semaphore>,
@@ -437,91 +444,95 @@
         let permit = match Arc::clone(room).try_acquire_owned() {
             Ok(permit) => permit,
             Err(_) => {
-                // Beyond the budget the kernel holds what comes until a place is free.
-                clients.end_some_idle();
+                // Beyond the budget new connections wait in the kernel's queue until a permit is free.
+                clients.close_some_idle();
                 tokio::select! {
                     permit = Arc::clone(room).acquire_owned() => match permit {
                         Ok(permit) => permit,
                         Err(_) => std::future::pending().await,
                     },
-                    () = sleep(YOUNG) => continue,
+                    () = sleep(FIRST_REQUEST_GRACE) => continue,
                 }
             }
         };
         match listener.accept().await {
             Ok((stream, address)) => return (stream, address, permit),
-            Err(wrong) => {
-                tracing::warn!(code = "accept_error", "{wrong}");
-                clients.end_some_idle();
+            Err(error) => {
+                tracing::warn!(code = "accept_error", "{error}");
+                clients.close_some_idle();
                 sleep(Duration::from_millis(20)).await;
             }
         }
     }
 }
 
-/// Why a request is not answered.
+/// A request is dropped because its client has disconnected.
 #[derive(Debug)]
-struct Gone;
+struct Disconnected;
 
-impl std::fmt::Display for Gone {
+impl std::fmt::Display for Disconnected {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        f.write_str("the client has gone")
+        f.write_str("the client has disconnected")
     }
 }
 
-impl Error for Gone {}
+impl Error for Disconnected {}
 
-fn timed_out(wrong: &hyper::Error) -> bool {
-    let source = wrong.source().and_then(|source| source.downcast_ref::<io::Error>());
+fn timed_out(error: &hyper::Error) -> bool {
+    let source = error.source().and_then(|source| source.downcast_ref::<io::Error>());
     source.is_some_and(|source| source.kind() == io::ErrorKind::TimedOut)
 }
 
-/// Serves one connection to its end; returns the reason's code.
-async fn hold(
+/// Serves one connection until it ends; returns the reason code.
+async fn serve_connection(
     client: &Arc<Client>,
     router: Router,
     mut lifecycle: watch::Receiver<Lifecycle>,
 ) -> &'static str {
     let _ = client.stream.set_nodelay(true);
-    let told = lifecycle.clone();
+    let lifecycle_now = lifecycle.clone();
     let service = service_fn(|mut request: Request<Incoming>| {
         if let Some(came) = client.framing().next_request() {
             request.extensions_mut().insert(came);
         }
-        client.asked.store(true, Ordering::Relaxed);
+        client.has_requested.store(true, Ordering::Relaxed);
         client.set_idle(None);
-        let (mut router, told) = (router.clone(), told.clone());
+        let (mut router, lifecycle_now) = (router.clone(), lifecycle_now.clone());
         async move {
-            // Nothing is begun for who left behind it, or while it lay here.
-            if client.gone() {
-                return Err(Gone);
+            // Don't start a request whose client disconnected behind it, or while it was waiting.
+            if client.disconnected() {
+                return Err(Disconnected);
             }
-            // hyper may have looked for a body just before it came.
+            // hyper may have polled for a body just before it arrived.
             if !client.ahead().bytes.is_empty() {
                 tokio::task::yield_now().await;
             }
             let Ok(answer) = router.call(request).await;
-            let mut answer = answer.map(|body| Body::new(Guarded::new(body, Answering(Arc::clone(client)))));
-            if told.borrow().ready().is_err() || client.leaving.load(Ordering::Relaxed) {
+            let mut answer = answer.map(|body| Body::new(Guarded::new(body, IdleOnDrop(Arc::clone(client)))));
+            if lifecycle_now.borrow().ready().is_err() || client.closing.load(Ordering::Relaxed) {
                 answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
             Ok(answer)
         }
     });
     let connection =
-        http1::Builder::new().header_read_timeout(None).max_buf_size(MOST_BUFFER).serve_connection(
-            TokioIo::new(Patient { stall: Stall::new(UNREAD), client: Arc::clone(client) }),
+        http1::Builder::new().header_read_timeout(None).max_buf_size(MAX_BUFFER).serve_connection(
+            TokioIo::new(ClientIo {
+                write_timeout: WriteTimeout::new(WRITE_STALL_TIMEOUT),
+                client: Arc::clone(client),
+            }),
             service,
         );
     let mut connection = std::pin::pin!(connection);
-    let (mut code, mut leaving) = (None, false);
+    let (mut code, mut closing) = (None, false);
     loop {
-        let leave = lifecycle.borrow_and_update().leave(client.opened);
-        // Once it leaves it ends by itself, but for what still lies in its socket.
-        let soon =
-            Instant::now() + if client.leaving.load(Ordering::Relaxed) { LOOK } else { Duration::ZERO };
-        let patience = client.patience().unwrap_or_else(|| Instant::now() + SILENT).max(soon);
-        let (leave_at, why) = leave.unwrap_or((client.opened, "closed_by_client"));
+        let close = lifecycle.borrow_and_update().close_at(client.opened);
+        // A closing connection ends by itself unless its socket holds unread bytes.
+        let soon = Instant::now()
+            + if client.closing.load(Ordering::Relaxed) { CLOSE_RETRY } else { Duration::ZERO };
+        let deadline =
+            client.silence_deadline().unwrap_or_else(|| Instant::now() + FIRST_REQUEST_TIMEOUT).max(soon);
+        let (close_at, why) = close.unwrap_or((client.opened, "closed_by_client"));
         let full = !client.may_read_ahead(&client.ahead());
         tokio::select! {
             biased;
@@ -529,28 +540,28 @@
                 return match ended {
                     Ok(()) => code.unwrap_or(why),
                     Err(_) if client.ahead().ended => "client_gone",
-                    Err(wrong) if wrong.is_parse() => "not_http",
-                    Err(wrong) if wrong.is_user() => "cut_off",
-                    Err(wrong) if timed_out(&wrong) => "unread",
+                    Err(error) if error.is_parse() => "not_http",
+                    Err(error) if error.is_user() => "cut_off",
+                    Err(error) if timed_out(&error) => "unread",
                     Err(_) => code.unwrap_or("client_gone"),
                 };
             }
-            () = poll_fn(|cx| client.poll_gone(cx)) => return "client_gone",
-            () = client.hangs_up(), if full && client.idle().is_none() => return "client_gone",
+            () = poll_fn(|cx| client.poll_disconnected(cx)) => return "client_gone",
+            () = client.socket_closed(), if full && client.idle().is_none() => return "client_gone",
             Ok(()) = lifecycle.changed() => {}
-            () = sleep_until(patience) => {
-                if client.patience().is_some_and(|until| until <= Instant::now()) {
+            () = sleep_until(deadline) => {
+                if client.silence_deadline().is_some_and(|until| until <= Instant::now()) {
                     code.get_or_insert("silent");
-                    client.leaving.store(true, Ordering::Relaxed);
+                    client.closing.store(true, Ordering::Relaxed);
                 }
             }
-            () = sleep_until(leave_at), if leave.is_some() && !leaving => {
-                leaving = true;
-                client.leaving.store(true, Ordering::Relaxed);
+            () = sleep_until(close_at), if close.is_some() && !closing => {
+                closing = true;
+                client.closing.store(true, Ordering::Relaxed);
             }
             () = client.end.notified() => {
                 code = Some("over_budget");
-                client.leaving.store(true, Ordering::Relaxed);
+                client.closing.store(true, Ordering::Relaxed);
             }
         }
     }
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -1,5 +1,5 @@
-//! What the processes of an upgrade share: the clients' listening socket, and through `$TMPDIR` word of
-//! one another and the backends that operators have taken out.
+//! State shared by the processes of an upgrade: the clients' listening socket, and through `$TMPDIR` the
+//! presence of each process and the backends that operators have taken out.
 
 use std::collections::BTreeSet;
 use std::fs::File;
@@ -15,40 +15,41 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-use crate::decide::Decide;
-use crate::names::{By, Names};
+use crate::balancer::BalancerHandle;
+use crate::registry::{BackendRegistry, DrainSource};
 
-const ENDING: &str = ".sock";
-/// A process that is there answers at once; a caller waits 1 s for all of it.
-const ANSWER: Duration = Duration::from_millis(400);
-/// How soon the end of another process is noticed.
-const LOOK: Duration = Duration::from_millis(250);
-const PAUSE: Duration = Duration::from_millis(20);
-const MOST_LINE: u64 = 600;
+const SOCKET_SUFFIX: &str = ".sock";
+/// A live process answers at once; an operator waits 1 s in total.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Interval at which the end of another process is detected.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+const MAX_LINE: u64 = 600;
 
-/// The calls as one process passes them to another.
+/// Calls that a process forwards to another one.
 pub const DETACH: &str = "DETACH";
 pub const ATTACH: &str = "ATTACH";
 
-fn gone(wrong: &std::io::Error) -> bool {
+fn is_gone(error: &std::io::Error) -> bool {
     use std::io::ErrorKind::{ConnectionRefused, NotFound};
-    matches!(wrong.kind(), ConnectionRefused | NotFound)
+    matches!(error.kind(), ConnectionRefused | NotFound)
 }
 
-/// What this proxy's files in `$TMPDIR` begin with; None where nothing may be left there. Another proxy's,
-/// at another address, are not ours.
-pub fn place(listen: SocketAddr) -> Option<PathBuf> {
-    let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
-    Some(PathBuf::from(folder).join(format!("crankpick-{listen}")))
+/// Common prefix of this proxy's files in `$TMPDIR`; None if there is no such directory. It contains the listen
+/// address, so files of other proxies differ.
+pub fn file_prefix(listen: SocketAddr) -> Option<PathBuf> {
+    let directory = std::env::var_os("TMPDIR").filter(|directory| !directory.is_empty())?;
+    Some(PathBuf::from(directory).join(format!("crankpick-{listen}")))
 }
 
-/// The listening socket that the platform holds for all processes, where it names one.
+/// The listening socket that the platform passes to all processes, if any.
 pub fn inherited() -> Result<Option<TcpListener>, String> {
     let name = "EDGE_INHERITED_FD";
     let Some(text) = std::env::var(name).ok().filter(|text| !text.is_empty()) else { return Ok(None) };
     let number = text.parse::<i32>().ok().filter(|number| *number > 2);
-    let number = number.ok_or_else(|| format!("{name}: no descriptor in {text:?}"))?;
-    // SAFETY: only borrowed until it is duplicated; a number that stands for nothing is told by an error.
+    let number = number.ok_or_else(|| format!("{name}: invalid file descriptor {text:?}"))?;
+    // SAFETY: the descriptor is only borrowed until it is duplicated; a number that is not open yields an
+    // error.
     let given = unsafe { BorrowedFd::borrow_raw(number) };
     let own = || {
         if !SockRef::from(&given).is_listener()? {
@@ -58,162 +59,178 @@
         listener.set_nonblocking(true)?;
         TcpListener::from_std(listener)
     };
-    own().map(Some).map_err(|wrong| format!("{name}: descriptor {number}: {wrong}"))
+    own().map(Some).map_err(|error| format!("{name}: descriptor {number}: {error}"))
 }
 
-/// Who is out by hand: for the module, in the file that outlives this process, and told to the others.
-pub struct ByHand {
-    decide: Arc<Decide>,
-    names: Arc<Mutex<Names>>,
+/// Backends taken out by operators: applied to the balancer, stored in a file that outlives the process, and
+/// forwarded to the other processes.
+pub struct ManualDrains {
+    balancer: Arc<BalancerHandle>,
+    registry: Arc<Mutex<BackendRegistry>>,
     handover: Option<Arc<Handover>>,
-    /// Where there is one.
+    /// Set if `$TMPDIR` is available.
     file: Option<PathBuf>,
 }
 
-impl ByHand {
-    /// Takes those out that the file names, before any query comes. A damaged file stops nobody.
+impl ManualDrains {
+    /// Takes out the backends in the file before the first query. A damaged file does not prevent startup.
     pub fn start(
-        decide: Arc<Decide>,
-        names: Arc<Mutex<Names>>,
+        balancer: Arc<BalancerHandle>,
+        registry: Arc<Mutex<BackendRegistry>>,
         handover: Option<Arc<Handover>>,
-        place: Option<&Path>,
+        prefix: Option<&Path>,
     ) -> Arc<Self> {
-        let file = place.map(|place| place.with_added_extension("out.json"));
-        let by_hand = Arc::new(ByHand { decide, names, handover, file });
-        if let Some(handover) = &by_hand.handover {
-            let _ = handover.by_hand.set(Arc::downgrade(&by_hand));
+        let file = prefix.map(|prefix| prefix.with_added_extension("out.json"));
+        let manual_drains = Arc::new(ManualDrains { balancer, registry, handover, file });
+        if let Some(handover) = &manual_drains.handover {
+            let _ = handover.manual_drains.set(Arc::downgrade(&manual_drains));
         }
-        match by_hand.kept() {
-            Ok(ids) => ids.iter().for_each(|id| by_hand.set(id, true)),
-            Err(wrong) => tracing::error!(code = "out_unsound", "who is out by hand can't be read: {wrong}"),
+        match manual_drains.load() {
+            Ok(ids) => ids.iter().for_each(|id| manual_drains.set(id, true)),
+            Err(error) => tracing::error!(code = "out_unsound", "manual drains can't be read: {error}"),
         }
-        by_hand
+        manual_drains
     }
 
-    fn kept(&self) -> Result<Vec<String>, String> {
+    fn load(&self) -> Result<Vec<String>, String> {
         let Some(file) = &self.file else { return Ok(Vec::new()) };
         match std::fs::read(file) {
-            Ok(text) => serde_json::from_slice(&text).map_err(|wrong| wrong.to_string()),
-            Err(wrong) if wrong.kind() == std::io::ErrorKind::NotFound => Ok(Vec::new()),
-            Err(wrong) => Err(wrong.to_string()),
+            Ok(text) => serde_json::from_slice(&text).map_err(|error| error.to_string()),
+            Err(error) if error.kind() == std::io::ErrorKind::NotFound => Ok(Vec::new()),
+            Err(error) => Err(error.to_string()),
         }
     }
 
     fn set(&self, id: &str, out: bool) {
-        let changed = self.names.lock().unwrap_or_else(PoisonError::into_inner).set(id, By::Hand, out);
+        let changed = self.registry.lock().unwrap_or_else(PoisonError::into_inner).set_drain(
+            id,
+            DrainSource::Operator,
+            out,
+        );
         tracing::info!(code = if out { "out_by_hand" } else { "back_by_hand" }, id, "told by operators");
         if let Some(number) = changed {
-            self.decide.by_hand(number, out);
+            self.balancer.set_manual_drain(number, out);
         }
     }
 
-    /// Replaced whole, so that nobody reads half a file.
-    fn keep(&self) -> Result<(), String> {
+    /// Replaces the file atomically, so that no process reads a partial one.
+    fn store(&self) -> Result<(), String> {
         let Some(file) = &self.file else { return Ok(()) };
-        let ids = self.names.lock().unwrap_or_else(PoisonError::into_inner).all_out(By::Hand);
+        let ids = self.registry.lock().unwrap_or_else(PoisonError::into_inner).drained(DrainSource::Operator);
         let next = file.with_extension(format!("{}", std::process::id()));
-        let text = serde_json::to_vec(&ids).map_err(|wrong| wrong.to_string())?;
+        let text = serde_json::to_vec(&ids).map_err(|error| error.to_string())?;
         let kept = std::fs::write(&next, text).and_then(|()| std::fs::rename(&next, file));
-        kept.map_err(|wrong| format!("{}: {wrong}", file.display()))
+        kept.map_err(|error| format!("{}: {error}", file.display()))
     }
 
-    /// One call of an operator's, in force at all processes once this returns.
+    /// Handles an operator's call; it is in force at all processes once this returns.
     pub async fn call(&self, id: &str, out: bool) -> Result<(), String> {
-        if !self.names.lock().unwrap_or_else(PoisonError::into_inner).knows(id) {
+        if !self.registry.lock().unwrap_or_else(PoisonError::into_inner).knows(id) {
             return Err(format!("no backend {id:?} is known"));
         }
         self.set(id, out);
-        self.keep()?;
+        self.store()?;
         match &self.handover {
-            Some(handover) => handover.tell(&format!("{} {id}", if out { DETACH } else { ATTACH })).await,
+            Some(handover) => {
+                handover.broadcast(&format!("{} {id}", if out { DETACH } else { ATTACH })).await
+            }
             None => Ok(()),
         }
     }
 }
 
-/// This process among those that share `$TMPDIR`. Each has a socket there, named for it; a dead one's
-/// refuses and is removed.
+/// Presence of this process among those that share `$TMPDIR`. Each process has a socket there; the socket of a
+/// dead process refuses connections and is removed.
 pub struct Handover {
-    /// Held open: by its descriptor the sockets' paths stay short, however long the folder's is.
-    folder: File,
-    /// What all names of this proxy's sockets begin with.
-    stem: String,
+    /// Kept open: paths through its descriptor stay within the length limit of socket paths, however long the
+    /// directory's path is.
+    directory: File,
+    /// Common prefix of this proxy's socket names.
+    prefix: String,
     own: String,
-    there: Mutex<BTreeSet<String>>,
+    present: Mutex<BTreeSet<String>>,
     others: watch::Sender<usize>,
-    by_hand: OnceLock<Weak<ByHand>>,
+    manual_drains: OnceLock<Weak<ManualDrains>>,
 }
 
 impl Handover {
-    /// Takes its place and finds out who else is there.
-    pub async fn start(place: &Path) -> Result<Arc<Self>, String> {
+    /// Creates this process's socket and looks for other processes.
+    pub async fn start(path_prefix: &Path) -> Result<Arc<Self>, String> {
         let name = |part: Option<&std::ffi::OsStr>| part.unwrap_or_default().to_string_lossy().into_owned();
-        let (folder, stem) = (place.parent().unwrap_or(place), name(place.file_name()));
-        let open = File::open(folder).map_err(|wrong| format!("{}: {wrong}", folder.display()))?;
+        let (directory, prefix) =
+            (path_prefix.parent().unwrap_or(path_prefix), name(path_prefix.file_name()));
+        let open = File::open(directory).map_err(|error| format!("{}: {error}", directory.display()))?;
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        // Another address may begin with the whole of this one.
-        let stem = stem + "-";
-        let own = format!("{stem}{}-{:x}{ENDING}", std::process::id(), now.as_nanos());
-        let (others, by_hand) = (watch::Sender::new(0), OnceLock::new());
-        let handover =
-            Arc::new(Handover { folder: open, stem, own, there: Mutex::default(), others, by_hand });
+        // The separator is needed because another address may begin with the whole of this one.
+        let prefix = prefix + "-";
+        let own = format!("{prefix}{}-{:x}{SOCKET_SUFFIX}", std::process::id(), now.as_nanos());
+        let (others, manual_drains) = (watch::Sender::new(0), OnceLock::new());
+        let handover = Arc::new(Handover {
+            directory: open,
+            prefix,
+            own,
+            present: Mutex::default(),
+            others,
+            manual_drains,
+        });
         let listener = UnixListener::bind(handover.path(&handover.own));
-        let listener = listener.map_err(|wrong| format!("{}: {wrong}", folder.display()))?;
+        let listener = listener.map_err(|error| format!("{}: {error}", directory.display()))?;
         tokio::spawn(Arc::clone(&handover).listen(listener));
-        handover.look().await;
+        handover.refresh().await;
         tokio::spawn(Arc::clone(&handover).follow());
         Ok(handover)
     }
 
-    /// How many other processes are there.
+    /// Number of other processes.
     pub fn others(&self) -> watch::Receiver<usize> {
         self.others.subscribe()
     }
 
     fn path(&self, name: &str) -> PathBuf {
-        PathBuf::from(format!("/proc/self/fd/{}/{name}", self.folder.as_raw_fd()))
+        PathBuf::from(format!("/proc/self/fd/{}/{name}", self.directory.as_raw_fd()))
     }
 
-    fn set_there(&self, name: &str, there: bool) {
-        let mut all = self.there.lock().unwrap_or_else(PoisonError::into_inner);
-        let changed = if there { all.insert(name.to_owned()) } else { all.remove(name) };
+    fn set_present(&self, name: &str, present: bool) {
+        let mut all = self.present.lock().unwrap_or_else(PoisonError::into_inner);
+        let changed = if present { all.insert(name.to_owned()) } else { all.remove(name) };
         if changed {
             tracing::info!(code = "processes", others = all.len(), "other processes of this proxy");
             self.others.send_replace(all.len());
         }
     }
 
-    /// Asks each process that has a socket for a sign of life.
-    async fn look(&self) {
+    /// Contacts each process that has a socket.
+    async fn refresh(&self) {
         let names = std::fs::read_dir(self.path("")).into_iter().flatten().flatten();
         let names = names.filter_map(|entry| entry.file_name().into_string().ok());
-        let ours =
-            |name: &String| name.starts_with(&self.stem) && name.ends_with(ENDING) && *name != self.own;
+        let ours = |name: &String| {
+            name.starts_with(&self.prefix) && name.ends_with(SOCKET_SUFFIX) && *name != self.own
+        };
         for name in names.filter(ours) {
             match self.ask(&name, &format!("HERE {}", self.own)).await {
-                Ok(_) => self.set_there(&name, true),
-                Err(wrong) if gone(&wrong) => {
+                Ok(_) => self.set_present(&name, true),
+                Err(error) if is_gone(&error) => {
                     let _ = std::fs::remove_file(self.path(&name));
-                    self.set_there(&name, false);
+                    self.set_present(&name, false);
                 }
-                // It may be busy: it is there until it is known to be gone.
-                Err(wrong) => tracing::warn!(code = "process_silent", name, "{wrong}"),
+                // It may be busy, and counts as running until it is known to have ended.
+                Err(error) => tracing::warn!(code = "process_silent", name, "{error}"),
             }
         }
-        let stand = |name: &String| self.path(name).exists();
-        let there = self.there.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        there.iter().filter(|name| !stand(name)).for_each(|name| self.set_there(name, false));
+        let exists = |name: &String| self.path(name).exists();
+        let present = self.present.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        present.iter().filter(|name| !exists(name)).for_each(|name| self.set_present(name, false));
     }
 
-    /// Passes a call on to each other process; done once all that are there have said so.
-    async fn tell(&self, line: &str) -> Result<(), String> {
-        let there = self.there.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        for name in &there {
+    /// Forwards a call to all other processes; returns once all that are running have confirmed it.
+    async fn broadcast(&self, line: &str) -> Result<(), String> {
+        let present = self.present.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        for name in &present {
             match self.ask(name, line).await {
                 Ok(answer) if answer.starts_with("YES") => {}
                 Ok(answer) => return Err(format!("another process says {answer:?}")),
-                Err(wrong) if gone(&wrong) => self.set_there(name, false),
-                Err(wrong) => return Err(format!("another process: {wrong}")),
+                Err(error) if is_gone(&error) => self.set_present(name, false),
+                Err(error) => return Err(format!("another process: {error}")),
             }
         }
         Ok(())
@@ -223,8 +240,8 @@
         let mut others = self.others();
         loop {
             let _ = others.wait_for(|others| *others > 0).await;
-            sleep(LOOK).await;
-            self.look().await;
+            sleep(POLL_INTERVAL).await;
+            self.refresh().await;
         }
     }
 
@@ -233,39 +250,39 @@
             let mut stream = BufReader::new(UnixStream::connect(self.path(name)).await?);
             stream.get_mut().write_all(format!("{line}\n").as_bytes()).await?;
             let mut answer = String::new();
-            (&mut stream).take(MOST_LINE).read_line(&mut answer).await?;
+            (&mut stream).take(MAX_LINE).read_line(&mut answer).await?;
             Ok(answer)
         };
-        timeout(ANSWER, asked).await.unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into()))
+        timeout(RESPONSE_TIMEOUT, asked).await.unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into()))
     }
 
     async fn listen(self: Arc<Self>, listener: UnixListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                sleep(PAUSE).await;
+                sleep(ACCEPT_RETRY).await;
                 continue;
             };
-            // In turn: the others are one or two, and each call is short.
-            let _ = timeout(ANSWER, self.hear(stream)).await;
+            // One at a time: there are one or two other processes, and each call is short.
+            let _ = timeout(RESPONSE_TIMEOUT, self.handle(stream)).await;
         }
     }
 
-    async fn hear(&self, stream: UnixStream) -> std::io::Result<()> {
+    async fn handle(&self, stream: UnixStream) -> std::io::Result<()> {
         let mut stream = BufReader::new(stream);
         let mut line = String::new();
-        (&mut stream).take(MOST_LINE).read_line(&mut line).await?;
+        (&mut stream).take(MAX_LINE).read_line(&mut line).await?;
         let answer = match line.trim_end().split_once(' ') {
             Some(("HERE", name)) => {
-                self.set_there(name, true);
+                self.set_present(name, true);
                 "YES\n"
             }
-            Some((call @ (DETACH | ATTACH), id)) => match self.by_hand.get().and_then(Weak::upgrade) {
-                Some(by_hand) => {
-                    by_hand.set(id, call == DETACH);
-                    // Two calls at a time may each have written without the other.
-                    by_hand.keep().map_or("NO not kept\n", |()| "YES\n")
+            Some((call @ (DETACH | ATTACH), id)) => match self.manual_drains.get().and_then(Weak::upgrade) {
+                Some(manual_drains) => {
+                    manual_drains.set(id, call == DETACH);
+                    // Of two concurrent calls each process may have written the file without the other one.
+                    manual_drains.store().map_or("NO not kept\n", |()| "YES\n")
                 }
-                // It has yet to read the file, which holds this call already.
+                // This process has not read the file yet, which already contains this call.
                 None => "YES\n",
             },
             _ => "NO\n",
@@ -273,8 +290,8 @@
         stream.get_mut().write_all(answer.as_bytes()).await
     }
 
-    /// Leaves the folder as it was found.
-    pub fn end(&self) {
+    /// Removes this process's socket.
+    pub fn remove_socket(&self) {
         let _ = std::fs::remove_file(self.path(&self.own));
     }
 }
--- a/crates/proxy/src/in_flight.rs
+++ b/crates/proxy/src/in_flight.rs
@@ -1,6 +1,6 @@
-//! What this proxy has in hand, counted by backend: work on a machine waits until nothing is left there, and
-//! work on the proxy itself until nothing is left at all. Written by `decide` as it decides, by `query` as
-//! executions end; read by `fleet`. Only where a fleet file is named.
+//! Counts what this proxy has in flight, per backend: work on a machine waits until its count is zero, and work
+//! on the proxy itself until all are. Incremented by `balancer` when it decides, decremented by `query` when
+//! executions end, read by `fleet`. Used only if a fleet file is configured.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -19,13 +19,13 @@
 #[derive(Default)]
 pub struct InFlight {
     counts: Mutex<Counts>,
-    /// Something has come to nothing.
+    /// Signalled when a count drops to zero.
     pub ended: Notify,
 }
 
-/// Stands for one execution from its decision to its end, or for one query.
+/// Counts one execution, from its decision to its end, or one query.
 #[derive(Debug)]
-pub struct Hold {
+pub struct InFlightGuard {
     in_flight: Arc<InFlight>,
     backend: Option<u32>,
 }
@@ -36,7 +36,7 @@
     }
 }
 
-impl PartialEq for Hold {
+impl PartialEq for InFlightGuard {
     fn eq(&self, other: &Self) -> bool {
         self.backend == other.backend
     }
@@ -47,17 +47,17 @@
         self.counts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn execution(self: &Arc<Self>, backend: u32) -> Hold {
+    pub fn execution(self: &Arc<Self>, backend: u32) -> InFlightGuard {
         *self.lock().backends.entry(backend).or_default() += 1;
-        Hold { in_flight: Arc::clone(self), backend: Some(backend) }
+        InFlightGuard { in_flight: Arc::clone(self), backend: Some(backend) }
     }
 
-    pub fn query(self: &Arc<Self>) -> Hold {
+    pub fn query(self: &Arc<Self>) -> InFlightGuard {
         self.lock().queries += 1;
-        Hold { in_flight: Arc::clone(self), backend: None }
+        InFlightGuard { in_flight: Arc::clone(self), backend: None }
     }
 
-    /// Of these, the backends at which something is left.
+    /// The given backends that have executions in flight.
     pub fn busy(&self, of: impl Iterator<Item = (String, u32)>) -> BTreeSet<String> {
         let counts = self.lock();
         of.filter(|(_, number)| counts.backends.contains_key(number)).map(|(id, _)| id).collect()
@@ -69,7 +69,7 @@
     }
 }
 
-impl Drop for Hold {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let mut counts = self.in_flight.lock();
         let none = match self.backend {
@@ -93,10 +93,11 @@
     }
 }
 
-/// A long answer is on its way when its first bytes are: what it came from is in use until its last.
-pub fn flowing(answer: Response<Body>, hold: Option<Hold>) -> Response<Body> {
-    match hold {
-        Some(hold) => answer.map(|body| Body::new(Guarded::new(body, hold))),
+/// Attaches the guard to the response body: a streamed response occupies its backend until the last byte, not
+/// only until its head was sent.
+pub fn hold_until_sent(answer: Response<Body>, guard: Option<InFlightGuard>) -> Response<Body> {
+    match guard {
+        Some(guard) => answer.map(|body| Body::new(Guarded::new(body, guard))),
         None => answer,
     }
 }
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -1,5 +1,5 @@
-//! What a process is there for: serving, drained or ending. Turned by `admin`, `serve` and the fleet's part;
-//! `front` and `query` follow it.
+//! Lifecycle of the process: serving, drained or ending. Changed by `admin`, `serve` and `fleet`; observed by
+//! `front` and `query`.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -9,14 +9,16 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 
-/// Connections go on coming for up to 0.4 s after the signal to end; idle ones end then too.
-pub const LATE: Duration = Duration::from_millis(650);
-/// After a drain begins idle connections end: by then most have ended by an answer, and few requests cross.
-const DRAINED: Duration = Duration::from_millis(1_300);
-/// What is opened later still asks at once.
-const OPENED: Duration = Duration::from_millis(250);
+/// New connections arrive for up to 0.4 s after SIGTERM; idle ones are closed after this time, and requests
+/// that arrive later are rejected.
+pub const ACCEPT_AFTER_TERM: Duration = Duration::from_millis(650);
+/// Idle connections are closed this long after a drain begins: by then most have ended with a response, so
+/// closing rarely races with a request.
+const DRAIN_IDLE_CLOSE: Duration = Duration::from_millis(1_300);
+/// Connections opened later than that get this long, as clients send their first request at once.
+const MIN_OPEN: Duration = Duration::from_millis(250);
 
-/// What the process is there for, and since when no longer.
+/// The lifecycle state and the time it was entered.
 #[derive(Clone, Copy, Debug)]
 pub enum Lifecycle {
     Serving,
@@ -33,58 +35,67 @@
         }
     }
 
-    /// Comes once the process is ending and nothing more may come whole: the kill may follow before its answer.
+    /// Completes when the process is ending and no further request should be accepted: SIGKILL may arrive
+    /// before its response.
     pub async fn too_late(mut lifecycle: watch::Receiver<Lifecycle>) {
         let ending = lifecycle
             .wait_for(|lifecycle| matches!(lifecycle, Lifecycle::Ending(_)))
             .await
             .map(|lifecycle| *lifecycle);
         match ending {
-            Ok(Lifecycle::Ending(since)) => sleep_until(since + LATE).await,
+            Ok(Lifecycle::Ending(since)) => sleep_until(since + ACCEPT_AFTER_TERM).await,
             _ => std::future::pending().await,
         }
     }
 
-    /// Whether the process is ending and what comes now could meet the kill before its answer.
+    /// Whether the process is ending and SIGKILL may arrive before the response to a request received now.
     pub fn is_too_late(&self) -> bool {
-        matches!(self, Lifecycle::Ending(since) if since.elapsed() >= LATE)
+        matches!(self, Lifecycle::Ending(since) if since.elapsed() >= ACCEPT_AFTER_TERM)
     }
 
-    /// When a client's connection that was opened then is to end, with the code for it.
-    pub fn leave(&self, opened: Instant) -> Option<(Instant, &'static str)> {
+    /// When a client connection that was opened at `opened` should be closed, with the reason code.
+    pub fn close_at(&self, opened: Instant) -> Option<(Instant, &'static str)> {
         match self {
             Lifecycle::Serving => None,
-            Lifecycle::Drained(since) => Some(((*since + DRAINED).max(opened + OPENED), "drained")),
-            Lifecycle::Ending(since) => Some(((*since + LATE).max(opened + OPENED), "stopping")),
+            Lifecycle::Drained(since) => {
+                Some(((*since + DRAIN_IDLE_CLOSE).max(opened + MIN_OPEN), "drained"))
+            }
+            Lifecycle::Ending(since) => {
+                Some(((*since + ACCEPT_AFTER_TERM).max(opened + MIN_OPEN), "stopping"))
+            }
         }
     }
 }
 
-/// Who wants this process drained: operators here, or the fleet for work on it. Either is enough.
+/// Sources of a drain: operators at this process, or the fleet for work on this proxy. Either one is enough.
 #[derive(Default)]
-struct Wants {
-    hand: bool,
+struct DrainRequests {
+    operator: bool,
     fleet: bool,
 }
 
-/// The one place where the lifecycle turns.
+/// Owns the lifecycle state; all transitions go through it.
 #[derive(Clone)]
-pub struct Stand {
+pub struct LifecycleController {
     lifecycle: watch::Sender<Lifecycle>,
-    wants: Arc<Mutex<Wants>>,
+    requests: Arc<Mutex<DrainRequests>>,
     right: Option<Right>,
 }
 
-impl Stand {
+impl LifecycleController {
     pub fn new(right: Option<Right>) -> Self {
-        Stand { lifecycle: watch::Sender::new(Lifecycle::Serving), wants: Arc::default(), right }
+        LifecycleController {
+            lifecycle: watch::Sender::new(Lifecycle::Serving),
+            requests: Arc::default(),
+            right,
+        }
     }
 
     pub fn follow(&self) -> watch::Receiver<Lifecycle> {
         self.lifecycle.subscribe()
     }
 
-    /// Whether queries are to come here: not where nothing may be sent on.
+    /// Whether this proxy should receive queries: not while it may not send to backends.
     pub fn ready(&self) -> Result<(), String> {
         self.lifecycle.borrow().ready()?;
         match self.right.as_ref().is_none_or(Right::lasts) {
@@ -93,17 +104,17 @@
         }
     }
 
-    /// Repeated it changes nothing: a drain runs from the first call.
-    fn turn(&self, want: impl FnOnce(&mut Wants)) -> Result<(), String> {
-        let mut wants = self.wants.lock().unwrap_or_else(PoisonError::into_inner);
-        want(&mut wants);
-        let drained = wants.hand || wants.fleet;
+    /// Applies a drain request. Repeating one changes nothing: a drain runs from the first call.
+    fn update(&self, apply: impl FnOnce(&mut DrainRequests)) -> Result<(), String> {
+        let mut requests = self.requests.lock().unwrap_or_else(PoisonError::into_inner);
+        apply(&mut requests);
+        let drained = requests.operator || requests.fleet;
         self.lifecycle.send_if_modified(|lifecycle| {
-            let turns = !matches!(lifecycle, Lifecycle::Ending(_)) && lifecycle.ready().is_ok() == drained;
-            if turns {
+            let changes = !matches!(lifecycle, Lifecycle::Ending(_)) && lifecycle.ready().is_ok() == drained;
+            if changes {
                 *lifecycle = if drained { Lifecycle::Drained(Instant::now()) } else { Lifecycle::Serving };
             }
-            turns
+            changes
         });
         match *self.lifecycle.borrow() {
             Lifecycle::Ending(_) => Err("the process is ending".into()),
@@ -111,12 +122,12 @@
         }
     }
 
-    pub fn by_hand(&self, drained: bool) -> Result<(), String> {
-        self.turn(|wants| wants.hand = drained)
+    pub fn set_manual_drain(&self, drained: bool) -> Result<(), String> {
+        self.update(|requests| requests.operator = drained)
     }
 
-    pub fn by_fleet(&self, drained: bool) {
-        let _ = self.turn(|wants| wants.fleet = drained);
+    pub fn set_fleet_drain(&self, drained: bool) {
+        let _ = self.update(|requests| requests.fleet = drained);
     }
 
     pub fn end(&self) {
