--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,25 +1,25 @@
-//! The program: its command line, its log, and which of its jobs it was started for.
+//! The `crankpick` binary: parses the command line, sets up logging and runs the requested command.
 
 mod admin;
 mod backends;
+mod balancer;
 mod bodies;
 mod cli;
 mod connect;
-mod decide;
 mod discovery;
+mod endpoints;
 mod fleet;
 mod front;
 mod handover;
 mod in_flight;
 mod lifecycle;
-mod names;
 mod operate;
 mod peers;
-mod places;
+mod permits;
 mod query;
+mod registry;
 mod reload;
 mod serve;
-mod share;
 
 use std::io::Write;
 use std::path::Path;
@@ -28,9 +28,10 @@
 use clap::Parser;
 use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
 
-use crate::cli::{Cli, Log, Serve, What};
+use crate::cli::{Cli, Command, Log, Serve};
 
-/// A log that nobody reads loses lines; it must not hold up queries, nor end the process.
+/// Sets up non-blocking logging. When nobody reads the output, lines are dropped: logging must neither delay
+/// queries nor end the process.
 fn log(kind: Log) -> WorkerGuard {
     let (log, flush) = NonBlockingBuilder::default().buffered_lines_limit(4_096).finish(std::io::stderr());
     let format = tracing_subscriber::fmt().with_ansi(false).with_target(false).log_internal_errors(false);
@@ -44,7 +45,7 @@
 fn serve(kind: Log, with: &Serve) -> Result<(), String> {
     let _flush = log(kind);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.map_err(|wrong| format!("runtime: {wrong}"))?.block_on(serve::run(with))
+    runtime.map_err(|error| format!("runtime: {error}"))?.block_on(serve::run(with))
 }
 
 fn check(file: &Path, name: Option<&str>) -> Result<String, String> {
@@ -58,31 +59,32 @@
             file.plan.fleet, file.plan.name
         ));
     }
-    reload::told_by(&text.to_string())?;
+    reload::load_from(&text.to_string())?;
     Ok(format!("{text}: sound"))
 }
 
 fn main() -> ExitCode {
-    // Alone, as the platform starts it, it needs no command line: reading one would cost memory for good.
+    // Started by the platform without arguments: skip command-line parsing, whose memory would stay allocated
+    // for the life of the process.
     let alone = std::env::args_os().len() == 1 && std::env::var_os("CRANKPICK_FLEET").is_none();
     let cli = if alone { Cli::default() } else { Cli::parse() };
-    let done = match &cli.what {
+    let done = match &cli.command {
         None => serve(cli.log, &cli.serve).map(|()| None),
-        Some(What::Serve(with)) => {
+        Some(Command::Serve(with)) => {
             let fleet = with.fleet.clone().or(cli.serve.fleet.clone());
             serve(cli.log, &Serve { fleet }).map(|()| None)
         }
-        Some(What::Check { file, name }) => check(file, name.as_deref()).map(Some),
-        Some(What::Fleet(what)) => operate::operate(what).map(Some),
+        Some(Command::Check { file, name }) => check(file, name.as_deref()).map(Some),
+        Some(Command::Fleet(command)) => operate::run(command).map(Some),
     };
     match done {
         Ok(said) => {
-            // Whoever reads it may have gone.
+            // A closed stdout is not an error.
             let _ = said.map(|said| writeln!(std::io::stdout(), "{said}"));
             ExitCode::SUCCESS
         }
-        Err(wrong) => {
-            let _ = writeln!(std::io::stderr(), "crankpick: {}", wrong.replace('\n', " "));
+        Err(error) => {
+            let _ = writeln!(std::io::stderr(), "crankpick: {}", error.replace('\n', " "));
             ExitCode::FAILURE
         }
     }
--- a/crates/proxy/src/operate.rs
+++ b/crates/proxy/src/operate.rs
@@ -1,5 +1,5 @@
-//! What operators call from a shell: one line to a proxy's second address, its answer printed. Called by
-//! `main`; runs beside no query.
+//! Fleet commands for operators: sends a line to a proxy's second address and formats the response. Called by
+//! `main`; never part of a serving process.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,24 +11,24 @@
 use crankpick_fleet::work::{self, Bounds, MachineKind, Plan};
 use serde_json::{json, Value};
 
-use crate::cli::{At, Backends, Fleet, Named, Work};
+use crate::cli::{Backends, Fleet, Named, ProxyTarget, Work};
 
-const CONNECT: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Longer than the proxy waits for the fleet.
-const ANSWER: Duration = Duration::from_secs(10);
-/// How often it is asked who has acted.
-const LOOK: Duration = Duration::from_millis(100);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval at which the applied versions are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 fn call(at: SocketAddr, line: &str) -> Result<String, String> {
     let asked = || {
-        let mut stream = TcpStream::connect_timeout(&at, CONNECT)?;
-        stream.set_read_timeout(Some(ANSWER))?;
+        let mut stream = TcpStream::connect_timeout(&at, CONNECT_TIMEOUT)?;
+        stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
         stream.write_all(format!("{line}\n").as_bytes())?;
         let mut answer = String::new();
         BufReader::new(stream).read_line(&mut answer)?;
         Ok(answer)
     };
-    let answer = asked().map_err(|wrong: std::io::Error| format!("{at}: {wrong}"))?;
+    let answer = asked().map_err(|error: std::io::Error| format!("{at}: {error}"))?;
     match answer.trim_end().split_once(' ').unwrap_or((answer.trim_end(), "")) {
         ("YES", said) => Ok(said.to_owned()),
         ("NO", why) => Err(why.to_owned()),
@@ -37,56 +37,56 @@
 }
 
 fn status(at: SocketAddr) -> Result<Status, String> {
-    serde_json::from_str(&call(at, "FLEET STATUS")?).map_err(|wrong| format!("{at}: {wrong}"))
+    serde_json::from_str(&call(at, "FLEET STATUS")?).map_err(|error| format!("{at}: {error}"))
 }
 
-/// What is printed; an error is one line for the shell.
-pub fn operate(what: &Fleet) -> Result<String, String> {
-    match what {
+/// Runs a command; returns the output. An error is one line.
+pub fn run(command: &Fleet) -> Result<String, String> {
+    match command {
         Fleet::Status(at) => {
             let status = status(at.at)?;
-            Ok(if at.json { json!(status).to_string() } else { table(&status) })
+            Ok(if at.json { json!(status).to_string() } else { format_status(&status) })
         }
         Fleet::Owner(at) => owners(at),
-        Fleet::Out(backends) => outs(backends, "OUT"),
-        Fleet::Back(backends) => outs(backends, "BACK"),
-        Fleet::Forget(named) => word("FORGET", named),
+        Fleet::Out(backends) => set_out(backends, "OUT"),
+        Fleet::Back(backends) => set_out(backends, "BACK"),
+        Fleet::Forget(named) => simple_command("FORGET", named),
         Fleet::Work(work) => match work {
             Work::Add(add) => {
                 let draft = plan_file::read(&add.plan)?;
-                let text = serde_json::to_string(&draft).map_err(|wrong| wrong.to_string())?;
-                agreed("ADD", &text, &add.at, add.call)?;
+                let text = serde_json::to_string(&draft).map_err(|error| error.to_string())?;
+                commit("ADD", &text, &add.at, add.call)?;
                 Ok(format!("agreed: plan {}", draft.name()))
             }
             Work::List(at) => list(at),
-            Work::Show(show) => one(&show.plan, &show.at),
-            Work::Pause(named) => word("PAUSE", named),
-            Work::Resume(named) => word("RESUME", named),
-            Work::Cancel(named) => word("CANCEL", named),
-            Work::Done(named) => word("DONE", named),
-            Work::Failed(named) => word("FAILED", named),
+            Work::Show(args) => show(&args.plan, &args.at),
+            Work::Pause(named) => simple_command("PAUSE", named),
+            Work::Resume(named) => simple_command("RESUME", named),
+            Work::Cancel(named) => simple_command("CANCEL", named),
+            Work::Done(named) => simple_command("DONE", named),
+            Work::Failed(named) => simple_command("FAILED", named),
         },
     }
 }
 
-/// One order on work, said yes to once it is agreed.
-fn agreed(order: &str, text: &str, at: &At, id: Option<u128>) -> Result<String, String> {
+/// Sends a command on work plans; returns once it is committed.
+fn commit(order: &str, text: &str, at: &ProxyTarget, id: Option<u128>) -> Result<String, String> {
     let id = id.unwrap_or_else(|| fastrand::u128(1..));
-    let again = format!("call again with --call {id:x} to be sure that it is done once");
-    call(at.at, &format!("FLEET WORK {order} {id:x} {text}")).map_err(|why| format!("{why} ({again})"))
+    let retry_hint = format!("call again with --call {id:x} to be sure that it is done once");
+    call(at.at, &format!("FLEET WORK {order} {id:x} {text}")).map_err(|why| format!("{why} ({retry_hint})"))
 }
 
-fn word(order: &str, named: &Named) -> Result<String, String> {
-    let said = agreed(order, &named.name, &named.at, named.call)?;
+fn simple_command(order: &str, named: &Named) -> Result<String, String> {
+    let said = commit(order, &named.name, &named.at, named.call)?;
     Ok(if named.at.json { said } else { format!("agreed: {} {}", order.to_lowercase(), named.name) })
 }
 
 fn work(at: SocketAddr) -> Result<(work::Work, FleetView), String> {
-    serde_json::from_str(&call(at, "FLEET WORK SHOW")?).map_err(|wrong| format!("{at}: {wrong}"))
+    serde_json::from_str(&call(at, "FLEET WORK SHOW")?).map_err(|error| format!("{at}: {error}"))
 }
 
-/// How a plan stands, in a word.
-fn stands(plan: &Plan) -> &'static str {
+/// State of a plan in a word or two.
+fn state_name(plan: &Plan) -> &'static str {
     match plan {
         plan if plan.is_over() && plan.cancelled => "cancelled",
         plan if plan.is_over() => "done",
@@ -96,7 +96,7 @@
     }
 }
 
-fn list(at: &At) -> Result<String, String> {
+fn list(at: &ProxyTarget) -> Result<String, String> {
     let (work, _) = work(at.at)?;
     if at.json {
         return Ok(json!(work.plans).to_string());
@@ -104,15 +104,15 @@
     let line = |(name, plan): (&String, &Plan)| {
         let over = plan.machines.values().filter(|machine| machine.stage.is_over()).count();
         let out = plan.machines.values().filter(|machine| machine.stage.is_out()).count();
-        let (all, stands, waits) = (plan.machines.len(), stands(plan), &plan.waits);
+        let (all, state, waits) = (plan.machines.len(), state_name(plan), &plan.waits);
         let waits =
             if waits.is_empty() || plan.is_over() { String::new() } else { format!("; waits: {waits}") };
-        format!("{name}: {stands}, {over} of {all} machines over, {out} out{waits}")
+        format!("{name}: {state}, {over} of {all} machines over, {out} out{waits}")
     };
     Ok(work.plans.iter().map(line).collect::<Vec<_>>().join("\n"))
 }
 
-fn one(name: &str, at: &At) -> Result<String, String> {
+fn show(name: &str, at: &ProxyTarget) -> Result<String, String> {
     let (work, sight) = work(at.at)?;
     let plan = work.plans.get(name).ok_or_else(|| format!("no plan {name:?}"))?;
     if at.json {
@@ -120,7 +120,7 @@
     }
     let Bounds { most_out, least_spare, .. } = plan.bounds;
     let mut lines = vec![
-        format!("{name}: {}, {}", plan.why, stands(plan)),
+        format!("{name}: {}, {}", plan.why, state_name(plan)),
         format!("at most {most_out} out, room for {least_spare} times the need left"),
     ];
     if !plan.is_over() && !plan.waits.is_empty() {
@@ -141,7 +141,7 @@
     Ok(lines.join("\n"))
 }
 
-fn owners(at: &At) -> Result<String, String> {
+fn owners(at: &ProxyTarget) -> Result<String, String> {
     let status = status(at.at)?;
     if at.json {
         return Ok(json!(status.duties).to_string());
@@ -152,7 +152,7 @@
     Ok(status.duties.iter().map(line).collect::<Vec<_>>().join("\n"))
 }
 
-fn table(status: &Status) -> String {
+fn format_status(status: &Status) -> String {
     let Status { leader, term, version, outs, duties, members, unheard, absent } = status;
     let mut lines =
         vec![format!("leader {leader}, term {term}, version {version}, {} backends out", outs.len())];
@@ -175,34 +175,34 @@
     lines.join("\n")
 }
 
-/// Whoever of those in touch has yet to act on a version.
-fn behind(status: &Status, version: u64) -> Vec<String> {
+/// Proxies in contact that have not applied a version yet.
+fn pending_members(status: &Status, version: u64) -> Vec<String> {
     let behind = status.members.iter().filter(|one| one.acted < version).map(|one| one.name.clone());
     behind.chain(status.unheard.iter().cloned()).collect()
 }
 
-fn outs(backends: &Backends, word: &str) -> Result<String, String> {
+fn set_out(backends: &Backends, word: &str) -> Result<String, String> {
     let id = backends.call.unwrap_or_else(|| fastrand::u128(1..));
-    if let Some(odd) = backends.ids.iter().find(|id| id.contains(char::is_whitespace) || id.is_empty()) {
-        return Err(format!("no backend's id: {odd:?}"));
+    if let Some(invalid) = backends.ids.iter().find(|id| id.contains(char::is_whitespace) || id.is_empty()) {
+        return Err(format!("no backend's id: {invalid:?}"));
     }
     let line = format!("FLEET {word} {id:x} {}", backends.ids.join(" "));
-    let again = format!("call again with --call {id:x} to be sure that it is done once");
-    let said = call(backends.at.at, &line).map_err(|why| format!("{why} ({again})"))?;
-    let said: Value = serde_json::from_str(&said).map_err(|wrong| wrong.to_string())?;
+    let retry_hint = format!("call again with --call {id:x} to be sure that it is done once");
+    let said = call(backends.at.at, &line).map_err(|why| format!("{why} ({retry_hint})"))?;
+    let said: Value = serde_json::from_str(&said).map_err(|error| error.to_string())?;
     let version = said["version"].as_u64().unwrap_or(0);
     let until = Instant::now() + Duration::try_from_secs_f64(backends.wait).unwrap_or_default();
     let (mut acted, mut missing) = (Vec::new(), vec!["nobody could be asked".to_owned()]);
     loop {
         if let Ok(status) = status(backends.at.at) {
-            missing = behind(&status, version);
+            missing = pending_members(&status, version);
             let there = status.members.iter().filter(|one| one.acted >= version);
             acted = there.map(|one| one.name.clone()).collect();
         }
         if missing.is_empty() || Instant::now() >= until {
             break;
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
     if backends.at.json {
         return Ok(json!({"version": version, "acted": acted, "behind": missing}).to_string());
--- a/crates/proxy/src/query.rs
+++ b/crates/proxy/src/query.rs
@@ -1,4 +1,4 @@
-//! The life of one query, from the client's request to the one final answer, in one task.
+//! Handles one query in one task, from the client's request to the single final response.
 
 use std::future::{poll_fn, Future};
 use std::pin::Pin;
@@ -13,145 +13,151 @@
 use axum::http::{HeaderMap, HeaderValue, Method, Response, StatusCode};
 use crankpick::interface::{Ended, Repeat};
 use crankpick_carry::run::Right;
-use crankpick_http::framing::Came;
+use crankpick_http::framing::ReceivedRequest;
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 
-use crate::backends::{Backends, Heard};
-use crate::bodies::{Broken, Payload, Pool};
-use crate::decide::{Decide, Decided, NotTaken};
-use crate::in_flight::flowing;
+use crate::backends::{Backends, ExecutionOutcome};
+use crate::balancer::{BalancerHandle, Decision, QueryError};
+use crate::bodies::{BodyError, Payload, Pool};
+use crate::in_flight::hold_until_sent;
 use crate::lifecycle::Lifecycle;
-use crate::reload::{Known, Terms};
+use crate::reload::{RequestConfig, WorkloadConfig};
 
-/// Kept back from what the client waits, for the way there and for writing the answer.
-const ROOM: Duration = Duration::from_millis(10);
+/// Subtracted from the client's deadline to leave time for the network and for writing the response.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(10);
 
-/// What every query needs.
+/// Shared state of all queries.
 pub struct Proxy {
-    pub decide: Arc<Decide>,
+    pub balancer: Arc<BalancerHandle>,
     pub backends: Arc<Backends>,
     pub bodies: Arc<Pool>,
-    /// What requests may name; an open query keeps what it came with.
-    pub terms: watch::Receiver<Arc<Terms>>,
+    /// Workloads and tenants; a running query keeps the version that it started with.
+    pub request_config: watch::Receiver<Arc<RequestConfig>>,
     pub lifecycle: watch::Receiver<Lifecycle>,
-    /// Turns true when the process must end: what is still in hand gets its answer.
+    /// Becomes true when the process must end: all pending queries are answered with an error.
     pub ending: watch::Receiver<bool>,
-    /// Whether this proxy may send anything to a backend, in a fleet.
+    /// Whether this proxy may send to backends; set in a fleet only.
     pub right: Option<Right>,
-    /// What a client is told that is turned away for want of it; 0 where the settings allow no such word.
-    pub come_back_us: u64,
+    /// `Retry-After` for clients rejected because nothing may be sent; 0 if the settings allow none.
+    pub retry_after_us: u64,
 }
 
 pub async fn answer(State(proxy): State<Arc<Proxy>>, request: Request) -> Response<Body> {
-    // Cut off from the fleet it may send nothing: said at once, before anything is taken.
+    // Cut off from the fleet it may not send to backends: reject before the query is accepted.
     if proxy.right.as_ref().is_some_and(|right| !right.lasts()) {
-        return rejected(proxy.come_back_us);
+        return rejected(proxy.retry_after_us);
     }
-    let hold = proxy.decide.in_flight().map(|in_flight| in_flight.query());
-    flowing(answered(proxy, request).await, hold)
+    let guard = proxy.balancer.in_flight().map(|in_flight| in_flight.query());
+    hold_until_sent(answered(proxy, request).await, guard)
 }
 
 async fn answered(proxy: Arc<Proxy>, request: Request) -> Response<Body> {
     let (mut head, body) = request.into_parts();
-    // Such a length may hide a second request in the body; a request that was not followed may as well.
-    let came = head.extensions.remove::<Came>();
-    if head.headers.contains_key(TRANSFER_ENCODING) && came.is_none_or(|came| came.two_lengths) {
-        return last(StatusCode::BAD_REQUEST, "a length given in two ways");
+    // Conflicting lengths may hide a second request in the body (request smuggling), and so may a request whose
+    // framing was not tracked.
+    let received = head.extensions.remove::<ReceivedRequest>();
+    if head.headers.contains_key(TRANSFER_ENCODING)
+        && received.is_none_or(|received| received.conflicting_lengths)
+    {
+        return plain_and_close(StatusCode::BAD_REQUEST, "a length given in two ways");
     }
-    let terms = Arc::clone(&proxy.terms.borrow());
-    let asked = match Asked::read(&head, &terms) {
-        Ok(asked) => asked,
-        Err(wrong) => return plain(StatusCode::BAD_REQUEST, &wrong),
+    let request_config = Arc::clone(&proxy.request_config.borrow());
+    let params = match RequestParams::read(&head, &request_config) {
+        Ok(params) => params,
+        Err(error) => return plain(StatusCode::BAD_REQUEST, &error),
     };
     let read = tokio::select! {
         biased;
-        read = Payload::read(body, &proxy.bodies, asked.wait / 2) => read,
-        () = Lifecycle::too_late(proxy.lifecycle.clone()) => Err(Broken::Still),
+        read = Payload::read(body, &proxy.bodies, params.wait / 2) => read,
+        () = Lifecycle::too_late(proxy.lifecycle.clone()) => Err(BodyError::TimedOut),
     };
-    let (payload, held_up) = match read {
+    let (payload, memory_wait) = match read {
         Ok(read) => read,
-        Err(wrong) => {
-            let status = match wrong {
-                // It has gone nowhere; half of its time is left to others.
-                Broken::NoRoom => return closing(rejected(proxy.come_back_us)),
-                Broken::Still => StatusCode::REQUEST_TIMEOUT,
-                Broken::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
-                Broken::Off | Broken::Gone => StatusCode::BAD_REQUEST,
+        Err(error) => {
+            let status = match error {
+                // It was sent nowhere, and half of its time is left for another proxy.
+                BodyError::OutOfMemory => return with_close(rejected(proxy.retry_after_us)),
+                BodyError::TimedOut => StatusCode::REQUEST_TIMEOUT,
+                BodyError::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
+                BodyError::Aborted | BodyError::Consumed => StatusCode::BAD_REQUEST,
             };
-            return last(status, &wrong.to_string());
+            return plain_and_close(status, &error.to_string());
         }
     };
-    // Sent on it could meet the kill before its answer; it has gone nowhere yet, so others may have it.
+    // SIGKILL might arrive before its response. It was sent nowhere yet, so another proxy may take it.
     if proxy.lifecycle.borrow().is_too_late() {
-        return rejected(proxy.come_back_us);
+        return rejected(proxy.retry_after_us);
     }
-    // The client counts from its last byte; what a pipelined request, or one for which there was no memory, waited here
-    // is gone.
-    let waited = came.and_then(|came| came.whole).map_or(Duration::ZERO, |whole| whole.elapsed());
-    let wait = asked.wait.saturating_sub(waited.max(held_up) + ROOM);
+    // The client's deadline counts from the last byte that it sent: subtract the time that a pipelined request,
+    // or one waiting for buffer memory, has spent here.
+    let waited =
+        received.and_then(|received| received.complete_at).map_or(Duration::ZERO, |whole| whole.elapsed());
+    let wait = params.wait.saturating_sub(waited.max(memory_wait) + RESPONSE_MARGIN);
     let ttl_us = wait.as_micros() as u64;
-    let (workload, tenant) = (asked.workload.number, asked.tenant);
-    let taken = proxy.decide.query(&asked.id, workload, tenant, ttl_us, asked.hint_us, asked.again);
-    let decided = match taken {
+    let (workload, tenant) = (params.workload.number, params.tenant);
+    let accepted =
+        proxy.balancer.query(&params.id, workload, tenant, ttl_us, params.hint_us, params.is_retry);
+    let decided = match accepted {
         Ok(decided) => decided,
-        Err(NotTaken::Known) => {
+        Err(QueryError::DuplicateId) => {
             return plain(StatusCode::BAD_REQUEST, "this X-Request-Id is in hand already")
         }
-        Err(NotTaken::Unsound(wrong)) => return plain(StatusCode::BAD_REQUEST, &wrong),
+        Err(QueryError::Invalid(error)) => return plain(StatusCode::BAD_REQUEST, &error),
     };
-    let one_chance = asked.workload.repeat == Repeat::NonIdempotent;
-    let mut life = Life::new(Arc::clone(&proxy.decide), asked.id, decided);
+    let not_retryable = params.workload.repeat == Repeat::NonIdempotent;
+    let mut active = ActiveQuery::new(Arc::clone(&proxy.balancer), params.id, decided);
     let head = Arc::new(head);
     let mut ending = proxy.ending.clone();
     loop {
         tokio::select! {
             biased;
-            heard = next_outcome(&mut life.out) => {
-                let (execution, heard) = heard;
-                report(&life.decide, &life.id, execution, &heard);
-                if let Some(answer) = heard.answer {
-                    life.answered = true;
+            outcome = next_outcome(&mut active.running_executions) => {
+                let (execution, outcome) = outcome;
+                report(&active.balancer, &active.id, execution, &outcome);
+                if let Some(answer) = outcome.answer {
+                    active.answered = true;
                     return answer;
                 }
             }
-            decided = life.decided.recv() => match decided {
-                Some(Decided::Execute { backend, timeout_us, begin_within_us, hold }) => {
-                    let wait = if payload.passing() { wait } else { Duration::from_micros(timeout_us) };
+            decided = active.decided.recv() => match decided {
+                Some(Decision::Execute { backend, timeout_us, begin_within_us, guard }) => {
+                    let wait = if payload.is_streamed() { wait } else { Duration::from_micros(timeout_us) };
                     let (backends, head) = (Arc::clone(&proxy.backends), Arc::clone(&head));
-                    let (payload, decide, id) = (payload.clone(), Arc::clone(&proxy.decide), life.id.clone());
+                    let (payload, balancer, id) = (payload.clone(), Arc::clone(&proxy.balancer), active.id.clone());
                     let body = {
                         let payload = payload.clone();
                         move || {
-                            let (decide, id) = (Arc::clone(&decide), id.clone());
-                            payload.body(move |whole| decide.news(|inbox| inbox.body_progress(&id, whole)))
+                            let (balancer, id) = (Arc::clone(&balancer), id.clone());
+                            payload.body(move |whole| balancer.notify(|inbox| inbox.body_progress(&id, whole)))
                         }
                     };
                     let too_late = Lifecycle::too_late(proxy.lifecycle.clone());
-                    // What waits to begin ends with its query, or with the time in which repeats are known.
-                    let begin = Duration::from_micros(begin_within_us).saturating_sub(proxy.backends.way_there());
-                    let mut given_up = life.there.subscribe();
+                    // An execution that has not begun ends with its query, or when the time in which duplicates
+                    // are recognised is over.
+                    let begin = Duration::from_micros(begin_within_us).saturating_sub(proxy.backends.max_send_delay());
+                    let mut dropped = active.alive.subscribe();
                     let unwanted = async move {
-                        let gone = async { while given_up.changed().await.is_ok() {} };
+                        let gone = async { while dropped.changed().await.is_ok() {} };
                         let _ = timeout(begin, gone).await;
                     };
                     let execution =
-                        backends.execute(backend, head, wait, one_chance, payload, body, too_late, unwanted);
+                        backends.execute(backend, head, wait, not_retryable, payload, body, too_late, unwanted);
                     let execution = async move {
-                        let mut heard = execution.await;
-                        heard.answer = heard.answer.map(|answer| flowing(answer, hold));
-                        heard
+                        let mut outcome = execution.await;
+                        outcome.answer = outcome.answer.map(|answer| hold_until_sent(answer, guard));
+                        outcome
                     };
-                    life.out.push((life.executions, Box::pin(execution)));
-                    life.executions += 1;
+                    active.running_executions.push((active.executions, Box::pin(execution)));
+                    active.executions += 1;
                 }
-                Some(Decided::Cancel { execution }) => life.cancel(execution),
-                Some(Decided::Reject { backoff_us }) => {
-                    life.answered = true;
+                Some(Decision::Cancel { execution }) => active.cancel(execution),
+                Some(Decision::Reject { backoff_us }) => {
+                    active.answered = true;
                     return rejected(backoff_us);
                 }
-                Some(Decided::Abort) | None => {
-                    life.answered = true;
+                Some(Decision::Abort) | None => {
+                    active.answered = true;
                     return plain(StatusCode::BAD_GATEWAY, "given up; it may have been executed");
                 }
             },
@@ -162,51 +168,59 @@
     }
 }
 
-type Running = Pin<Box<dyn Future<Output = Heard> + Send>>;
+type Running = Pin<Box<dyn Future<Output = ExecutionOutcome> + Send>>;
 
-/// Stands for a query that the module holds. Dropped, whether answered or because the client went, it
-/// leaves the module with an outcome for each execution.
-struct Life {
-    decide: Arc<Decide>,
+/// A query registered with the balancer. When dropped, because it was answered or because the client
+/// disconnected, it reports an outcome for each execution.
+struct ActiveQuery {
+    balancer: Arc<BalancerHandle>,
     id: String,
-    decided: mpsc::Receiver<Decided>,
-    out: Vec<(u32, Running)>,
-    /// How many were decided: the number of the next.
+    decided: mpsc::Receiver<Decision>,
+    running_executions: Vec<(u32, Running)>,
+    /// Number of executions decided so far, which is the number of the next one.
     executions: u32,
     answered: bool,
-    /// Dropped with it, which ends what has not begun.
-    there: watch::Sender<()>,
+    /// Dropped together with the query, which cancels executions that have not begun.
+    alive: watch::Sender<()>,
 }
 
-impl Life {
-    fn new(decide: Arc<Decide>, id: String, decided: mpsc::Receiver<Decided>) -> Self {
-        let there = watch::Sender::new(());
-        Life { decide, id, decided, out: Vec::new(), executions: 0, answered: false, there }
+impl ActiveQuery {
+    fn new(balancer: Arc<BalancerHandle>, id: String, decided: mpsc::Receiver<Decision>) -> Self {
+        let alive = watch::Sender::new(());
+        ActiveQuery {
+            balancer,
+            id,
+            decided,
+            running_executions: Vec::new(),
+            executions: 0,
+            answered: false,
+            alive,
+        }
     }
 
-    /// Dropping the execution closes its connection: that is how a backend hears of it.
+    /// Dropping the execution closes its connection, which tells the backend.
     fn cancel(&mut self, execution: u32) {
-        let before = self.out.len();
-        self.out.retain(|(number, _)| *number != execution);
-        if self.out.len() < before {
-            self.decide.outcome(&self.id, execution, Ended::Cancelled, 0, false, None);
+        let before = self.running_executions.len();
+        self.running_executions.retain(|(number, _)| *number != execution);
+        if self.running_executions.len() < before {
+            self.balancer.outcome(&self.id, execution, Ended::Cancelled, 0, false, None);
         }
     }
 }
 
-fn report(decide: &Arc<Decide>, id: &str, execution: u32, heard: &Heard) {
-    // The first that brings an answer for the client ends the query.
-    decide.outcome(id, execution, heard.ended, heard.took_us, heard.answer.is_some(), heard.report);
+fn report(balancer: &Arc<BalancerHandle>, id: &str, execution: u32, outcome: &ExecutionOutcome) {
+    // The first execution that yields a response for the client ends the query.
+    balancer.outcome(id, execution, outcome.ended, outcome.took_us, outcome.answer.is_some(), outcome.report);
 }
 
-/// The next execution to end; waits for good while none is out.
-async fn next_outcome(out: &mut Vec<(u32, Running)>) -> (u32, Heard) {
+/// Waits for the next execution to end; never completes while none is running.
+async fn next_outcome(running_executions: &mut Vec<(u32, Running)>) -> (u32, ExecutionOutcome) {
     poll_fn(|cx| {
-        for (place, (execution, running)) in out.iter_mut().enumerate() {
-            if let Poll::Ready(heard) = running.as_mut().poll(cx) {
+        for (place, (execution, running)) in running_executions.iter_mut().enumerate() {
+            if let Poll::Ready(outcome) = running.as_mut().poll(cx) {
                 let execution = *execution;
-                drop(out.remove(place));
-                return Poll::Ready((execution, heard));
+                drop(running_executions.remove(place));
+                return Poll::Ready((execution, outcome));
             }
         }
         Poll::Pending
@@ -214,79 +228,81 @@
     .await
 }
 
-impl Drop for Life {
+impl Drop for ActiveQuery {
     fn drop(&mut self) {
         if !self.answered {
-            self.decide.withdrawn(&self.id);
+            self.balancer.withdrawn(&self.id);
         }
         while let Ok(decided) = self.decided.try_recv() {
             match decided {
-                Decided::Cancel { execution } => self.cancel(execution),
-                // Decided in the same moment as the client went: it never left, and must not count as out.
-                Decided::Execute { .. } => {
-                    self.decide.outcome(&self.id, self.executions, Ended::NotSent, 0, false, None);
+                Decision::Cancel { execution } => self.cancel(execution),
+                // Decided at the moment the client disconnected: it was never sent and must not count as
+                // running.
+                Decision::Execute { .. } => {
+                    self.balancer.outcome(&self.id, self.executions, Ended::NotSent, 0, false, None);
                     self.executions += 1;
                 }
-                Decided::Reject { .. } | Decided::Abort => {}
+                Decision::Reject { .. } | Decision::Abort => {}
             }
         }
-        self.decide.forget(&self.id);
-        // Where executions may not be called off those that have begun go on until their own end.
-        for (execution, running) in self.out.drain(..) {
-            let (decide, id) = (Arc::clone(&self.decide), self.id.clone());
+        self.balancer.forget(&self.id);
+        // If executions may not be cancelled, those that have begun run to completion.
+        for (execution, running) in self.running_executions.drain(..) {
+            let (balancer, id) = (Arc::clone(&self.balancer), self.id.clone());
             tokio::spawn(async move {
-                report(&decide, &id, execution, &running.await);
+                report(&balancer, &id, execution, &running.await);
             });
         }
     }
 }
 
-/// What the decisions need of a request; all else goes on as it came.
-struct Asked {
+/// The parts of a request that the balancer needs; everything else is forwarded unchanged.
+struct RequestParams {
     id: String,
-    workload: Known,
+    workload: WorkloadConfig,
     tenant: usize,
     wait: Duration,
     hint_us: Option<u64>,
-    /// Whether the client says that it has tried before.
-    again: bool,
+    /// Whether the client marks the request as a retry.
+    is_retry: bool,
 }
 
-impl Asked {
-    fn read(head: &Parts, terms: &Terms) -> Result<Self, String> {
+impl RequestParams {
+    fn read(head: &Parts, request_config: &RequestConfig) -> Result<Self, String> {
         let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
-        let twice = |name: &&&str| head.headers.get_all(**name).iter().nth(1).is_some();
-        if let Some(name) = ["x-request-id", "idempotency-key", "x-deadline"].iter().find(twice) {
+        let repeated = |name: &&&str| head.headers.get_all(**name).iter().nth(1).is_some();
+        if let Some(name) = ["x-request-id", "idempotency-key", "x-deadline"].iter().find(repeated) {
             return Err(format!("{name} stands there twice"));
         }
         let id = text("x-request-id").filter(|id| !id.is_empty()).ok_or("X-Request-Id is missing")?;
         let name = head.uri.path().split('/').nth(1).unwrap_or_default();
-        let workload = terms.workloads.iter().find(|workload| workload.name == name);
+        let workload = request_config.workloads.iter().find(|workload| workload.name == name);
         let workload = workload.ok_or_else(|| format!("no workload {name:?}"))?;
         let key = head.headers.get("idempotency-key").map(|key| !key.is_empty());
-        let fits = match workload.repeat {
+        let method_fits = match workload.repeat {
             Repeat::Idempotent => head.method == Method::GET && key.is_none(),
             Repeat::Deduplicated => head.method == Method::POST && key == Some(true),
             Repeat::NonIdempotent => head.method == Method::POST && key.is_none(),
         };
-        if !fits {
+        if !method_fits {
             return Err(format!("{} and Idempotency-Key don't fit workload {name:?}", head.method));
         }
-        // No client of this workload waits longer, whatever it says: a place is not held for an hour.
-        let most = workload.statement_timeout;
+        // The workload's timeout caps the client's deadline, so that no query occupies a slot for an hour.
+        let max_wait = workload.statement_timeout;
         let wait = match text("x-deadline") {
-            Some(wait) => duration(wait).ok_or_else(|| format!("X-Deadline {wait:?}"))?.min(most),
-            None => most,
+            Some(wait) => duration(wait).ok_or_else(|| format!("X-Deadline {wait:?}"))?.min(max_wait),
+            None => max_wait,
         };
-        // A tenant on no list has no share to be beyond.
-        let tenant = text("x-tenant").and_then(|name| terms.tenants.iter().position(|tenant| tenant == name));
-        Ok(Asked {
+        // A tenant that isn't configured has no share to exceed.
+        let tenant =
+            text("x-tenant").and_then(|name| request_config.tenants.iter().position(|tenant| tenant == name));
+        Ok(RequestParams {
             id: id.to_owned(),
             workload: workload.clone(),
             tenant: tenant.unwrap_or(usize::MAX),
             wait,
             hint_us: hint(&head.headers),
-            again: text("x-retry") == Some("1"),
+            is_retry: text("x-retry") == Some("1"),
         })
     }
 }
@@ -296,7 +312,7 @@
     (hint.is_finite() && hint >= 0.0).then_some(hint as u64)
 }
 
-/// `480m` or `480u`.
+/// Parses a duration such as `480m` (milliseconds) or `480u` (microseconds).
 fn duration(text: &str) -> Option<Duration> {
     let text = text.trim();
     let (number, unit_us) = match text.strip_suffix('m') {
@@ -313,12 +329,13 @@
     answer
 }
 
-/// For a client whose next bytes can't be told apart from what is left of this request.
-fn last(status: StatusCode, text: &str) -> Response<Body> {
-    closing(plain(status, text))
+/// Response that closes the connection: the client's next bytes can't be told apart from the rest of this
+/// request.
+fn plain_and_close(status: StatusCode, text: &str) -> Response<Body> {
+    with_close(plain(status, text))
 }
 
-fn closing(mut answer: Response<Body>) -> Response<Body> {
+fn with_close(mut answer: Response<Body>) -> Response<Body> {
     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     answer
 }
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -1,4 +1,4 @@
-//! The configuration as a file: read and checked whole, at the start and again at each SIGHUP.
+//! The configuration file: read and validated as a whole at startup and on each SIGHUP.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,31 +11,35 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
-use crate::decide::Decide;
+use crate::balancer::BalancerHandle;
 
-/// Where the settings name no time for a query.
-const STATEMENT: Duration = Duration::from_secs(60);
+/// Default for `StatementTimeoutUs`.
+const DEFAULT_STATEMENT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A workload by the name that requests use.
+/// A workload, by the name that requests use.
 #[derive(Clone)]
-pub struct Known {
+pub struct WorkloadConfig {
     pub name: String,
-    /// The module's for it.
+    /// The balancer's index of it.
     pub number: usize,
     pub repeat: Repeat,
     pub statement_timeout: Duration,
 }
 
-/// What requests may name, in the order of the settings.
-pub struct Terms {
-    pub workloads: Vec<Known>,
+/// Workloads and tenants that requests may name, in the order of the settings.
+pub struct RequestConfig {
+    pub workloads: Vec<WorkloadConfig>,
     pub tenants: Vec<String>,
 }
 
-impl Terms {
-    /// The longest that an execution may take.
+impl RequestConfig {
+    /// The longest duration of an execution.
     pub fn longest(&self) -> Duration {
-        self.workloads.iter().map(|workload| workload.statement_timeout).max().unwrap_or(STATEMENT)
+        self.workloads
+            .iter()
+            .map(|workload| workload.statement_timeout)
+            .max()
+            .unwrap_or(DEFAULT_STATEMENT_TIMEOUT)
     }
 
     pub fn new(settings: &Value, numbers: &[usize]) -> Result<Self, String> {
@@ -44,87 +48,89 @@
         let repeats = crankpick_launch::repeats(settings)?;
         let known = names.into_iter().zip(numbers).zip(repeats).zip(timeouts);
         let known = known.map(|(((name, number), repeat), timeout)| {
-            let statement_timeout = said(timeout, STATEMENT);
-            Known { name, number: *number, repeat, statement_timeout }
+            let statement_timeout = duration_or(timeout, DEFAULT_STATEMENT_TIMEOUT);
+            WorkloadConfig { name, number: *number, repeat, statement_timeout }
         });
-        Ok(Terms { workloads: known.collect(), tenants: each(settings, "Tenants", "Name")? })
+        Ok(RequestConfig { workloads: known.collect(), tenants: each(settings, "Tenants", "Name")? })
     }
 }
 
-/// A time that the settings leave out reads as zero.
-pub fn said(us: u64, unsaid: Duration) -> Duration {
+/// Converts a duration; zero means that the settings omit it.
+pub fn duration_or(us: u64, default: Duration) -> Duration {
     match us {
-        0 => unsaid,
+        0 => default,
         us => Duration::from_micros(us),
     }
 }
 
-pub fn parsed(path: &str, text: &str) -> Result<SocketAddr, String> {
-    text.parse().map_err(|_| format!("{path}: no address in {text:?}"))
+pub fn parse_address(path: &str, text: &str) -> Result<SocketAddr, String> {
+    text.parse().map_err(|_| format!("{path}: invalid address {text:?}"))
 }
 
-pub fn address(told: &Value, path: &str) -> Result<SocketAddr, String> {
-    parsed(path, &at::<String>(told, path)?)
+pub fn address(config: &Value, path: &str) -> Result<SocketAddr, String> {
+    parse_address(path, &at::<String>(config, path)?)
 }
 
-/// What a probe asks for: any path will do, as a request without an id is no query.
-pub fn probe_path(told: &Value) -> Result<Uri, String> {
-    let path: Option<String> = at(told, "probe_path")?;
+/// Request path of probes. Any path works, as a request without an id is not a query.
+pub fn probe_path(config: &Value) -> Result<Uri, String> {
+    let path: Option<String> = at(config, "probe_path")?;
     let path = path.unwrap_or_else(|| "/".into());
     let sound = path.parse().ok().filter(|uri: &Uri| path.starts_with('/') && uri.authority().is_none());
-    sound.ok_or_else(|| format!("probe_path: no path in {path:?}"))
+    sound.ok_or_else(|| format!("probe_path: invalid path {path:?}"))
 }
 
-pub fn seed(told: &Value) -> Result<u64, String> {
-    let text: String = at(told, "seed")?;
+pub fn seed(config: &Value) -> Result<u64, String> {
+    let text: String = at(config, "seed")?;
     u64::from_str_radix(&text, 16).map_err(|_| format!("seed: {text:?} is not hexadecimal"))
 }
 
-pub fn settings(told: &Value) -> Result<&Value, String> {
-    told.get("settings").ok_or_else(|| "no settings".into())
+pub fn settings(config: &Value) -> Result<&Value, String> {
+    config.get("settings").ok_or_else(|| "settings are missing".into())
 }
 
-/// The file as it is now, where it would do for a start.
-pub fn told() -> Result<Value, String> {
-    let path = std::env::var("EDGE_CONFIG").map_err(|_| "EDGE_CONFIG names no file")?;
-    told_by(&path)
+/// Reads the current file; fails unless it is valid for startup.
+pub fn load() -> Result<Value, String> {
+    let path = std::env::var("EDGE_CONFIG").map_err(|_| "EDGE_CONFIG is not set")?;
+    load_from(&path)
 }
 
-pub fn told_by(path: &str) -> Result<Value, String> {
-    let text = std::fs::read_to_string(path).map_err(|wrong| format!("{path}: {wrong}"))?;
-    let told: Value = serde_json::from_str(&text).map_err(|wrong| format!("{path}: {wrong}"))?;
-    let conf = settings(&told)?;
-    crankpick_launch::balancer(seed(&told)?, conf)?;
-    Terms::new(conf, &[])?;
-    address(&told, "listen")?;
-    address(&told, "discovery")?;
-    probe_path(&told)?;
-    let none = |place: &Value, name: &str| place.get(name).is_some_and(|value| value.as_u64() == Some(0));
-    if none(&conf["Limits"], "MaxExecutions") {
-        return Err("Limits.MaxExecutions in the settings: 0 lets nothing be executed".into());
+pub fn load_from(path: &str) -> Result<Value, String> {
+    let text = std::fs::read_to_string(path).map_err(|error| format!("{path}: {error}"))?;
+    let config: Value = serde_json::from_str(&text).map_err(|error| format!("{path}: {error}"))?;
+    let settings = settings(&config)?;
+    crankpick_launch::balancer(seed(&config)?, settings)?;
+    RequestConfig::new(settings, &[])?;
+    address(&config, "listen")?;
+    address(&config, "discovery")?;
+    probe_path(&config)?;
+    let none = |discovery_address: &Value, name: &str| {
+        discovery_address.get(name).is_some_and(|value| value.as_u64() == Some(0))
+    };
+    if none(&settings["Limits"], "MaxExecutions") {
+        return Err("Limits.MaxExecutions in the settings: must not be 0".into());
     }
     let mut names = Vec::new();
-    for workload in conf["Workloads"].as_array().into_iter().flatten() {
+    for workload in settings["Workloads"].as_array().into_iter().flatten() {
         let name: String = at(workload, "Name")?;
         if let Some(time) = ["SloTimeUs", "StatementTimeoutUs"].iter().find(|time| none(workload, time)) {
-            return Err(format!("{time} of workload {name:?} in the settings: 0 lets nothing be answered"));
+            return Err(format!("{time} of workload {name:?} in the settings: must not be 0"));
         }
         if name.is_empty() || names.contains(&name) {
-            return Err(format!("Workloads in the settings: no name, or one twice: {name:?}"));
+            return Err(format!("Workloads in the settings: empty or duplicate name {name:?}"));
         }
         names.push(name);
     }
-    Ok(told)
+    Ok(config)
 }
 
-/// What is there in the file in force and not in the new one; lists that hold something are held against what
-/// all entries of the old one have.
+/// Path of a value that is in the current configuration but missing from the new one. Entries of a non-empty
+/// list must have the fields that all entries of the current list have.
 fn missing(was: &Value, is: &Value, path: &str) -> Option<String> {
     match (was, is) {
         (Value::Object(was), Value::Object(is)) => was.iter().find_map(|(name, was)| {
             let path = format!("{path}{}{name}", if path.is_empty() { "" } else { "." });
             match is.get(name) {
-                // What was null says no more than what is left out. The list is discovery's.
+                // A null value counts as absent. The `known` list belongs to discovery.
                 None | Some(Value::Null) if was.is_null() => None,
                 None | Some(Value::Null) => Some(path),
                 Some(_) if path == "known" => None,
@@ -146,36 +152,42 @@
     }
 }
 
-/// Takes the file anew at each SIGHUP: whole, or where it would not do for a start or lacks something, not at
-/// all.
+/// Reloads the file on each SIGHUP: completely, or not at all if it is invalid or lacks a value that is in
+/// current.
 pub async fn follow(
     mut hangup: Signal,
-    mut force: Value,
-    decide: Arc<Decide>,
-    terms: watch::Sender<Arc<Terms>>,
-    place: watch::Sender<SocketAddr>,
+    mut current: Value,
+    balancer: Arc<BalancerHandle>,
+    request_config: watch::Sender<Arc<RequestConfig>>,
+    discovery_address: watch::Sender<SocketAddr>,
 ) {
     while hangup.recv().await.is_some() {
-        match told().and_then(|told| taken(&force, &told, &decide).map(|taken| (told, taken))) {
-            Ok((told, (new, discovery))) => {
+        match load().and_then(|config| apply(&current, &config, &balancer).map(|taken| (config, taken))) {
+            Ok((config, (new, discovery))) => {
                 let workloads = new.workloads.len();
                 tracing::info!(code = "reloaded", %discovery, workloads, "configuration read again");
-                terms.send_replace(Arc::new(new));
-                place.send_if_modified(|place| std::mem::replace(place, discovery) != discovery);
-                force = told;
+                request_config.send_replace(Arc::new(new));
+                discovery_address.send_if_modified(|discovery_address| {
+                    std::mem::replace(discovery_address, discovery) != discovery
+                });
+                current = config;
             }
-            Err(wrong) => tracing::warn!(code = "reload_unsound", "all stays as it was: {wrong}"),
+            Err(error) => tracing::warn!(code = "reload_unsound", "configuration not reloaded: {error}"),
         }
     }
 }
 
-fn taken(force: &Value, told: &Value, decide: &Arc<Decide>) -> Result<(Terms, SocketAddr), String> {
-    if let Some(path) = missing(force, told, "") {
+fn apply(
+    current: &Value,
+    config: &Value,
+    balancer: &Arc<BalancerHandle>,
+) -> Result<(RequestConfig, SocketAddr), String> {
+    if let Some(path) = missing(current, config, "") {
         return Err(format!("{path} is missing"));
     }
-    let (conf, discovery) = (settings(told)?, address(told, "discovery")?);
-    let (workloads, tenants) = (crankpick_launch::workloads(conf)?, crankpick_launch::tenants(conf)?);
-    let (limits, cold) = (crankpick_launch::limits(conf)?, crankpick_launch::cold(conf)?);
-    let numbers = decide.reload(workloads, tenants, limits, cold);
-    Ok((Terms::new(conf, &numbers)?, discovery))
+    let (settings, discovery) = (settings(config)?, address(config, "discovery")?);
+    let (workloads, tenants) = (crankpick_launch::workloads(settings)?, crankpick_launch::tenants(settings)?);
+    let (limits, cold) = (crankpick_launch::limits(settings)?, crankpick_launch::cold(settings)?);
+    let numbers = balancer.reload(workloads, tenants, limits, cold);
+    Ok((RequestConfig::new(settings, &numbers)?, discovery))
 }
--- a/crates/proxy/tests/unit/discovery.rs
+++ b/crates/proxy/tests/unit/discovery.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 fn objects(text: &str) -> Result<Vec<u64>, String> {
-    let (mut object, mut read) = (Object::default(), Vec::new());
+    let (mut object, mut read) = (ObjectParser::default(), Vec::new());
     for byte in text.bytes() {
-        if object.takes(byte)? {
-            read.push(understood(&std::mem::take(&mut object).text)?.generation);
+        if object.push(byte)? {
+            read.push(parse_list(&std::mem::take(&mut object).text)?.generation);
         }
     }
     Ok(read)
@@ -18,8 +18,8 @@
     assert_eq!(objects(&format!("{plain}{indented}{plain}")), Ok(vec![41, 42, 41]));
     assert_eq!(objects("{\"generation\":1}{\"generation\":2}"), Ok(vec![1, 2]));
     assert_eq!(objects("{\"generation\":1"), Ok(vec![]), "not whole yet");
-    for wrong in ["x", "}", "[1]", "{\"generation\":]}"] {
-        assert!(objects(wrong).is_err(), "{wrong}");
+    for error in ["x", "}", "[1]", "{\"generation\":]}"] {
+        assert!(objects(error).is_err(), "{error}");
     }
 }
 
@@ -29,10 +29,11 @@
     let balancer = crankpick_launch::balancer(7, &settings).expect("sound");
     let peers = Arc::new(crate::peers::Peers::new(None, vec![]).expect("none"));
     let pool = Arc::new(crate::bodies::Pool::new(0));
-    let backends = Arc::new(Backends::new(9, pool, SILENT, SILENT, None));
+    let backends = Arc::new(Backends::new(9, pool, WATCH_TIMEOUT, WATCH_TIMEOUT, None));
     let path = axum::http::Uri::from_static("/");
-    let decide = Decide::new(balancer, 4, Arc::clone(wanted), peers, Arc::clone(&backends), path, None);
-    Discovery::new(decide, backends, vec![], Arc::default(), false, false, 1)
+    let balancer =
+        BalancerHandle::new(balancer, 4, Arc::clone(wanted), peers, Arc::clone(&backends), path, None);
+    Discovery::new(balancer, backends, vec![], Arc::default(), false, false, 1)
 }
 
 /// How a call ends which is answered with `answer` and then closed.
--- a/crates/proxy/tests/unit/in_flight.rs
+++ b/crates/proxy/tests/unit/in_flight.rs
@@ -9,13 +9,13 @@
     let query = in_flight.query();
     assert_eq!(in_flight.busy(of()), BTreeSet::from(["a".to_owned()]));
     drop(other);
-    let answer = flowing(Response::new(Body::from("long")), Some(one));
+    let answer = hold_until_sent(Response::new(Body::from("long")), Some(one));
     drop(query);
     assert!(!in_flight.empty() && in_flight.busy(of()).contains("a"), "it has not flowed yet");
     let whole = answer.into_body().collect().await.expect("whole").to_bytes();
     assert_eq!(whole, "long");
     assert!(in_flight.empty() && in_flight.busy(of()).is_empty());
     // A client that goes leaves nothing in hand either.
-    drop(flowing(Response::new(Body::from("long")), Some(in_flight.execution(2))));
+    drop(hold_until_sent(Response::new(Body::from("long")), Some(in_flight.execution(2))));
     assert!(in_flight.empty());
 }
--- a/crates/proxy/tests/unit/query.rs
+++ b/crates/proxy/tests/unit/query.rs
@@ -12,18 +12,18 @@
     });
     let balancer = crankpick_launch::balancer(7, &settings).expect("sound");
     let peers = Arc::new(Peers::new(None, vec![]).expect("none"));
-    let backends = Arc::new(Backends::new(9, Arc::new(Pool::new(0)), ROOM, ROOM, None));
+    let backends = Arc::new(Backends::new(9, Arc::new(Pool::new(0)), RESPONSE_MARGIN, RESPONSE_MARGIN, None));
     let path = axum::http::Uri::from_static("/");
-    let decide = Decide::new(balancer, 4, Arc::default(), peers, backends, path, None);
-    decide.list(true, &[Listed { backend: 1, phase: Phase::Ready, weight: 1.0, ..Listed::default() }]);
+    let balancer = BalancerHandle::new(balancer, 4, Arc::default(), peers, backends, path, None);
+    balancer.list(true, &[Listed { backend: 1, phase: Phase::Ready, weight: 1.0, ..Listed::default() }]);
     for turn in 0..50 {
         let id = turn.to_string();
-        let mut decided = decide.query(&id, 0, 0, 5_000_000, None, false).ok().expect("taken");
+        let mut decided = balancer.query(&id, 0, 0, 5_000_000, None, false).ok().expect("taken");
         let first = decided.try_recv();
-        assert!(matches!(first, Ok(Decided::Execute { .. })), "turn {turn}: {first:?}");
+        assert!(matches!(first, Ok(Decision::Execute { .. })), "turn {turn}: {first:?}");
         // As if it were still on its way to the query's task.
         let (late, decided) = mpsc::channel(9);
         late.try_send(first.expect("there")).expect("room");
-        drop(Life::new(Arc::clone(&decide), id, decided));
+        drop(ActiveQuery::new(Arc::clone(&balancer), id, decided));
     }
 }
