--- a/crates/proxy/src/backends.rs
+++ b/crates/proxy/src/backends.rs
@@ -109,15 +109,15 @@
 
     /// Updates the stale fraction with one use of a pooled connection.
     fn record_reuse(&self, stale: bool) {
-        let mut share = self.stale.lock().unwrap_or_else(PoisonError::into_inner);
-        *share += (f64::from(u8::from(stale)) - *share) / 64.0;
+        let mut fraction = self.stale.lock().unwrap_or_else(PoisonError::into_inner);
+        *fraction += (f64::from(u8::from(stale)) - *fraction) / 64.0;
     }
 
     /// Returns the number of a new connection if the request needs one of its own (`must`), or if pooled ones
     /// are often stale.
     fn fresh(&self, must: bool) -> Option<u64> {
-        let often = *self.stale.lock().unwrap_or_else(PoisonError::into_inner) > STALE_THRESHOLD;
-        (must || often).then(|| self.fresh.fetch_add(1, Ordering::Relaxed))
+        let often_stale = *self.stale.lock().unwrap_or_else(PoisonError::into_inner) > STALE_THRESHOLD;
+        (must || often_stale).then(|| self.fresh.fetch_add(1, Ordering::Relaxed))
     }
 
     /// Runs one execution until its response is complete, or has exceeded the buffer and is streamed. Dropping
@@ -139,10 +139,10 @@
         unwanted: impl Future<Output = ()>,
     ) -> ExecutionOutcome {
         let sent = Instant::now();
-        let under_way: Mutex<Option<CaptureConnection>> = Mutex::default();
+        let current: Mutex<Option<CaptureConnection>> = Mutex::default();
         let begun = || {
-            let under_way = under_way.lock().unwrap_or_else(PoisonError::into_inner);
-            under_way.as_ref().and_then(tracked).is_some_and(|tracked| tracked.begun())
+            let current = current.lock().unwrap_or_else(PoisonError::into_inner);
+            current.as_ref().and_then(tracked).is_some_and(|tracked| tracked.begun())
         };
         let endpoint = self.endpoints.available_address(backend);
         let outcome = async {
@@ -157,7 +157,7 @@
                 let request = backend_request(backend, fresh, address, &head, body(), left);
                 let mut request = request.ok_or(Ended::NotSent)?;
                 let connection = capture_connection(&mut request);
-                under_way.lock().unwrap_or_else(PoisonError::into_inner).replace(connection.clone());
+                current.lock().unwrap_or_else(PoisonError::into_inner).replace(connection.clone());
                 let answer = self.client.request(request).await;
                 let tracked = tracked(&connection);
                 if tracked.as_deref().is_some_and(TrackedConnection::reused) {
@@ -291,7 +291,7 @@
     let answer = Answer::read(Body::new(body), pool, until).await.map_err(|_| Ended::Dropped)?;
     // Beyond the buffer a response times out when it makes no progress although more is requested, not when the
     // client pauses.
-    match (answer.whole(), tracked.as_deref().zip(execution)) {
+    match (answer.is_complete(), tracked.as_deref().zip(execution)) {
         (true, Some((tracked, execution))) => tracked.set_idle(execution),
         (false, Some((tracked, _))) => tracked.set_streaming(),
         (_, None) => {}
--- a/crates/proxy/src/bodies.rs
+++ b/crates/proxy/src/bodies.rs
@@ -62,18 +62,18 @@
 /// Memory for bodies larger than `UNPOOLED`.
 pub struct Pool {
     permits: Arc<Semaphore>,
-    whole: usize,
+    complete: usize,
 }
 
 impl Pool {
     pub fn new(memory: usize) -> Self {
-        let whole =
+        let complete =
             (memory / POOL_DIVISOR / UNPOOLED).max(2 * (BUFFERED_PERMITS + STREAMED_PERMITS) as usize);
-        Pool { permits: Arc::new(Semaphore::new(whole)), whole }
+        Pool { permits: Arc::new(Semaphore::new(complete)), complete }
     }
 
     pub async fn share_with(self: Arc<Self>, others: watch::Receiver<usize>) {
-        cede_half(others, Arc::clone(&self.permits), self.whole, || ()).await;
+        cede_half(others, Arc::clone(&self.permits), self.complete, || ()).await;
     }
 
     async fn take(&self, permits: u32, within: Duration) -> Result<OwnedSemaphorePermit, BodyError> {
@@ -121,9 +121,9 @@
                     // Trailers are not forwarded: they belong to one hop.
                     let Ok(data) = frame.into_data() else { continue };
                     self.received += data.len() as u64;
-                    let patience =
+                    let allowed =
                         self.stall_timeout.as_secs_f64() + self.received as f64 / self.min_bytes_per_s;
-                    match self.waited.as_secs_f64() > patience {
+                    match self.waited.as_secs_f64() > allowed {
                         true => Some(Err(BodyError::TimedOut)),
                         false if self.received > MAX_BODY => Some(Err(BodyError::TooLong)),
                         false => Some(Ok(data)),
@@ -208,8 +208,8 @@
     pub async fn read(body: Body, pool: &Pool, within: Duration) -> Result<(Payload, Duration), BodyError> {
         let length = length(&body)?;
         let mut reader = BodyReader::new(body, CLIENT_STALL_TIMEOUT, MIN_BYTES_PER_S);
-        let (first, whole, permit) = reader.read(pool, MAX_BUFFERED, None, within).await?;
-        if whole {
+        let (first, complete, permit) = reader.read(pool, MAX_BUFFERED, None, within).await?;
+        if complete {
             return Ok((Payload::Buffered(first, Arc::new(permit)), reader.memory_wait));
         }
         let memory_wait = reader.memory_wait;
@@ -320,18 +320,18 @@
 
 impl Answer {
     pub async fn read(body: Body, pool: &Pool, until: Instant) -> Result<Answer, BodyError> {
-        let said = length(&body)?;
+        let declared = length(&body)?;
         let mut reader = BodyReader::new(body, BACKEND_STALL_TIMEOUT, f64::MIN_POSITIVE);
         // If the declared length is large, forward the first bytes at once: a slow backend takes a second to
         // fill the buffer.
-        let kept = if said.lower() > MAX_BUFFERED as u64 { 0 } else { MAX_BUFFERED };
-        let (first, whole, permit) = reader.read(pool, kept, Some(until), Duration::MAX).await?;
-        let length = if whole { SizeHint::with_exact(first.len() as u64) } else { said };
-        let (first, rest) = (Some(first), (!whole).then_some(reader));
+        let kept = if declared.lower() > MAX_BUFFERED as u64 { 0 } else { MAX_BUFFERED };
+        let (first, complete, permit) = reader.read(pool, kept, Some(until), Duration::MAX).await?;
+        let length = if complete { SizeHint::with_exact(first.len() as u64) } else { declared };
+        let (first, rest) = (Some(first), (!complete).then_some(reader));
         Ok(Answer { first, rest, length, read: None, _permit: permit })
     }
 
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.rest.is_none()
     }
 
--- a/crates/proxy/src/connect.rs
+++ b/crates/proxy/src/connect.rs
@@ -348,7 +348,7 @@
             return Ok(());
         }
         state.written = 0;
-        let found = match SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]) {
+        let reason = match SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => None,
             Ok(0) => Some("closed_by_backend"),
             Ok(_) => Some("more_than_asked"),
@@ -356,15 +356,15 @@
         };
         // Checked directly before the first byte: the process may have been suspended since the query was
         // accepted.
-        let found = found.or_else(|| {
+        let reason = reason.or_else(|| {
             let may = self.right.as_ref().is_none_or(Right::lasts);
             (!may).then_some("cut_off")
         });
         // The list may have changed since the query was decided, or since this connection was opened.
         let open = || self.endpoints.available_address(self.connection.backend) == Some(self.address);
-        let found = found.or_else(|| (!open()).then_some("out_of_bounds"));
-        if let Some(found) = found {
-            state.why.get_or_insert(found);
+        let reason = reason.or_else(|| (!open()).then_some("out_of_bounds"));
+        if let Some(reason) = reason {
+            state.why.get_or_insert(reason);
         }
         if state.why.is_some() {
             state.idle_since.get_or_insert_with(Instant::now);
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -210,15 +210,19 @@
 
     /// Runs forever. The balancer requests each call and sets the backoff after a failure. A new address is
     /// called at once; until it has sent a list, the backends known so far stay.
-    pub fn follow(self, place: watch::Receiver<SocketAddr>, wanted: Arc<Notify>) -> impl Future<Output = ()> {
-        let first = *place.borrow();
-        self.follow_from(first, place, wanted)
+    pub fn follow(
+        self,
+        address_changes: watch::Receiver<SocketAddr>,
+        wanted: Arc<Notify>,
+    ) -> impl Future<Output = ()> {
+        let first = *address_changes.borrow();
+        self.follow_from(first, address_changes, wanted)
     }
 
     async fn follow_from(
         mut self,
         mut last: SocketAddr,
-        mut place: watch::Receiver<SocketAddr>,
+        mut address_changes: watch::Receiver<SocketAddr>,
         wanted: Arc<Notify>,
     ) {
         let mut backoff = AGENT_BACKOFF[0];
@@ -226,20 +230,20 @@
         loop {
             tokio::select! {
                 () = wanted.notified() => {}
-                Ok(()) = place.changed() => {}
+                Ok(()) = address_changes.changed() => {}
             }
             // Both may be ready at once, so the branch that was taken doesn't show whether the address changed.
-            let address = *place.borrow_and_update();
+            let address = *address_changes.borrow_and_update();
             self.full_list_needed |= std::mem::replace(&mut last, address) != address;
             let heard = self.generation;
             let WatchError { failure, why } = tokio::select! {
                 ended = self.watch(address) => {
-                    let Err(lost) = ended;
-                    lost
+                    let Err(error) = ended;
+                    error
                 }
-                Ok(()) = place.changed() => {
+                Ok(()) = address_changes.changed() => {
                     tracing::info!(code = "watch_moved", %address, generation = self.generation, "discovery address changed");
-                    place.mark_changed();
+                    address_changes.mark_changed();
                     continue;
                 }
             };
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -95,9 +95,9 @@
     /// Tells the fleet that the process ends and has answered everything, so that the fleet need not wait for
     /// it.
     pub async fn leave(&self) {
-        let (done, said) = oneshot::channel();
+        let (done, confirmed) = oneshot::channel();
         self.handle.tell(Call::Part(done));
-        let _ = timeout(LEAVE_TIMEOUT, said).await;
+        let _ = timeout(LEAVE_TIMEOUT, confirmed).await;
     }
 
     /// Applies the version in force before the first query, if it arrives in time, then follows all later ones.
@@ -183,7 +183,7 @@
     }
 
     /// Handles an operator's call; returns the text after YES, or after NO.
-    pub async fn call(&self, words: Vec<&str>, patience: Duration) -> Result<String, String> {
+    pub async fn call(&self, words: Vec<&str>, wait: Duration) -> Result<String, String> {
         let ask = match words.split_first() {
             Some((&"STATUS", [])) => Ask::Status,
             Some((call @ (&"OUT" | &"BACK"), [id, ids @ ..])) if !ids.is_empty() => {
@@ -191,10 +191,10 @@
                 let ids = ids.iter().map(|id| (*id).to_owned()).collect();
                 Ask::Command(Command::Outs { id, out: *call == "OUT", ids })
             }
-            Some((&"WORK", words)) => return self.work(words, patience).await,
+            Some((&"WORK", words)) => return self.work(words, wait).await,
             _ => return Err("unknown call to the fleet".into()),
         };
-        match self.handle.ask(ask, patience).await {
+        match self.handle.ask(ask, wait).await {
             Told::Done(Outcome::Version(version)) => Ok(json!({ "version": version }).to_string()),
             Told::Done(Outcome::Refused(why)) | Told::NotNow(why) => Err(why),
             Told::Done(_) | Told::Work(_) => Ok(String::new()),
@@ -205,12 +205,12 @@
 
 impl Fleet {
     /// Handles calls on work plans.
-    async fn work(&self, words: &[&str], patience: Duration) -> Result<String, String> {
+    async fn work(&self, words: &[&str], wait: Duration) -> Result<String, String> {
         let id = |text: &str| u128::from_str_radix(text, 16).map_err(|_| format!("no call's id in {text:?}"));
         let directive = |say, name: &str| Order::Say { name: name.to_owned(), say };
         let (id, order) = match words {
             ["SHOW"] => {
-                return match self.handle.ask(Ask::Work, patience).await {
+                return match self.handle.ask(Ask::Work, wait).await {
                     Told::Work(work) => serde_json::to_string(&*work).map_err(|error| error.to_string()),
                     Told::NotNow(why) => Err(why),
                     _ => Err("no answer to that call".into()),
@@ -233,7 +233,7 @@
             ["FORGET", call, name] => (id(call)?, Order::Forget { name: (*name).to_owned() }),
             _ => return Err("unknown call on work".into()),
         };
-        match self.handle.ask(Ask::Command(Command::Work { id, order }), patience).await {
+        match self.handle.ask(Ask::Command(Command::Work { id, order }), wait).await {
             Told::Done(Outcome::Version(version)) => Ok(json!({ "version": version }).to_string()),
             Told::Done(Outcome::Refused(why)) | Told::NotNow(why) => Err(why),
             _ => Err("no answer to that call".into()),
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -85,12 +85,12 @@
     write_pending: AtomicBool,
     /// Whether to close as soon as nothing is in flight and the socket holds no unread bytes.
     closing: AtomicBool,
-    end: Notify,
+    evict: Notify,
     framing: Mutex<Framing>,
     stream: TcpStream,
     ahead: Mutex<ReadAhead>,
     /// Bytes that all connections together may still read ahead.
-    room: Arc<AtomicUsize>,
+    read_ahead_budget: Arc<AtomicUsize>,
 }
 
 /// Bytes received after the request in flight. hyper stops reading while it holds bytes of the next request, so
@@ -107,7 +107,7 @@
 impl Drop for Client {
     fn drop(&mut self) {
         let length = self.ahead().bytes.len();
-        self.room.fetch_add(length, Ordering::Relaxed);
+        self.read_ahead_budget.fetch_add(length, Ordering::Relaxed);
     }
 }
 
@@ -125,7 +125,7 @@
     }
 
     fn may_read_ahead(&self, ahead: &ReadAhead) -> bool {
-        ahead.bytes.len() < MAX_READ_AHEAD && self.room.load(Ordering::Relaxed) >= READ_CHUNK
+        ahead.bytes.len() < MAX_READ_AHEAD && self.read_ahead_budget.load(Ordering::Relaxed) >= READ_CHUNK
     }
 
     fn ahead(&self) -> MutexGuard<'_, ReadAhead> {
@@ -142,7 +142,7 @@
                 Ok(length) => {
                     self.framing().feed(&part[..length], Instant::now());
                     ahead.bytes.extend_from_slice(&part[..length]);
-                    self.room.fetch_sub(length, Ordering::Relaxed);
+                    self.read_ahead_budget.fetch_sub(length, Ordering::Relaxed);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
@@ -227,7 +227,7 @@
         idle.sort_by_key(|(has_requested, since, _)| (*has_requested, *since));
         for (_, _, client) in idle.into_iter().take(CLOSE_BATCH) {
             client.evicted.store(true, Ordering::Relaxed);
-            client.end.notify_one();
+            client.evict.notify_one();
         }
     }
 }
@@ -273,7 +273,7 @@
         if !ahead.bytes.is_empty() {
             let length = ahead.bytes.len().min(buf.remaining());
             buf.put_slice(&ahead.bytes.split_to(length));
-            client.room.fetch_add(length, Ordering::Relaxed);
+            client.read_ahead_budget.fetch_add(length, Ordering::Relaxed);
             return Poll::Ready(Ok(()));
         } else if ahead.ended {
             return Poll::Ready(Ok(()));
@@ -355,25 +355,25 @@
     lifecycle: watch::Receiver<Lifecycle>,
     others: watch::Receiver<usize>,
 ) {
-    let ahead = Arc::new(AtomicUsize::new(memory / READ_AHEAD_DIVISOR));
+    let read_ahead_budget = Arc::new(AtomicUsize::new(memory / READ_AHEAD_DIVISOR));
     let clients = Arc::new(Clients::default());
-    let room = Arc::new(Semaphore::new(budget));
-    let leave_room = {
+    let permits = Arc::new(Semaphore::new(budget));
+    let share_permits = {
         let clients = Arc::clone(&clients);
-        cede_half(others.clone(), Arc::clone(&room), budget, move || clients.close_some_idle())
+        cede_half(others.clone(), Arc::clone(&permits), budget, move || clients.close_some_idle())
     };
-    let leave_room = tokio::spawn(leave_room);
+    let share_permits = tokio::spawn(share_permits);
     let mut number = 0;
-    let mut lifecycle_now = lifecycle.clone();
-    let mut late = Box::pin(async {
-        let _ = lifecycle_now.wait_for(|lifecycle| matches!(lifecycle, Lifecycle::Ending(_))).await;
+    let mut watched = lifecycle.clone();
+    let mut stop_accepting = Box::pin(async {
+        let _ = watched.wait_for(|lifecycle| matches!(lifecycle, Lifecycle::Ending(_))).await;
         // Another process that accepts from the same socket takes all connections from now on.
         if *others.borrow() == 0 {
             sleep(ACCEPT_AFTER_TERM).await;
         }
     });
-    let mut take = |stream: TcpStream, address: SocketAddr, permit: OwnedSemaphorePermit| {
-        if budget.saturating_sub(room.available_permits()) > early_close_above {
+    let mut serve = |stream: TcpStream, address: SocketAddr, permit: OwnedSemaphorePermit| {
+        if budget.saturating_sub(permits.available_permits()) > early_close_above {
             clients.close_some_idle();
         }
         number += 1;
@@ -384,11 +384,11 @@
             evicted: AtomicBool::new(false),
             write_pending: AtomicBool::new(false),
             closing: AtomicBool::new(false),
-            end: Notify::new(),
+            evict: Notify::new(),
             framing: Mutex::new(Framing::new()),
             stream,
             ahead: Mutex::default(),
-            room: Arc::clone(&ahead),
+            read_ahead_budget: Arc::clone(&read_ahead_budget),
         });
         clients.open.lock().unwrap_or_else(PoisonError::into_inner).insert(number, Arc::clone(&client));
         let (clients, router, lifecycle) = (Arc::clone(&clients), router.clone(), lifecycle.clone());
@@ -411,43 +411,43 @@
     loop {
         let accepted = tokio::select! {
             biased;
-            () = &mut late => break,
-            accepted = accept(&listener, &room, &clients) => accepted,
+            () = &mut stop_accepting => break,
+            accepted = accept(&listener, &permits, &clients) => accepted,
         };
         let (stream, address, permit) = accepted;
-        take(stream, address, permit);
+        serve(stream, address, permit);
     }
     // Connections in the kernel's accept queue would be reset when the listener closes, unless another process
     // accepts them.
     if let Some(last) = listener.into_std().ok().filter(|_| *others.borrow() == 0) {
-        while let Ok(permit) = Arc::clone(&room).try_acquire_owned() {
+        while let Ok(permit) = Arc::clone(&permits).try_acquire_owned() {
             let accepted = last.accept().and_then(|(stream, address)| {
                 stream.set_nonblocking(true)?;
                 Ok((TcpStream::from_std(stream)?, address))
             });
             let Ok((stream, address)) = accepted else { break };
-            take(stream, address, permit);
+            serve(stream, address, permit);
         }
     }
-    leave_room.abort();
-    let _ = leave_room.await;
-    let _ = room.acquire_many(budget as u32).await;
+    share_permits.abort();
+    let _ = share_permits.await;
+    let _ = permits.acquire_many(budget as u32).await;
 }
 
 /// Accepts the next connection. Errors here are transient and must not end the loop.
 async fn accept(
     listener: &TcpListener,
-    room: &Arc<Semaphore>,
+    permits: &Arc<Semaphore>,
     clients: &Clients,
 ) -> (TcpStream, SocketAddr, OwnedSemaphorePermit) {
     loop {
-        let permit = match Arc::clone(room).try_acquire_owned() {
+        let permit = match Arc::clone(permits).try_acquire_owned() {
             Ok(permit) => permit,
             Err(_) => {
                 // Beyond the budget new connections wait in the kernel's queue until a permit is free.
                 clients.close_some_idle();
                 tokio::select! {
-                    permit = Arc::clone(room).acquire_owned() => match permit {
+                    permit = Arc::clone(permits).acquire_owned() => match permit {
                         Ok(permit) => permit,
                         Err(_) => std::future::pending().await,
                     },
@@ -490,14 +490,14 @@
     mut lifecycle: watch::Receiver<Lifecycle>,
 ) -> &'static str {
     let _ = client.stream.set_nodelay(true);
-    let lifecycle_now = lifecycle.clone();
+    let watched = lifecycle.clone();
     let service = service_fn(|mut request: Request<Incoming>| {
         if let Some(came) = client.framing().next_request() {
             request.extensions_mut().insert(came);
         }
         client.has_requested.store(true, Ordering::Relaxed);
         client.set_idle(None);
-        let (mut router, lifecycle_now) = (router.clone(), lifecycle_now.clone());
+        let (mut router, watched) = (router.clone(), watched.clone());
         async move {
             // Don't start a request whose client disconnected behind it, or while it was waiting.
             if client.disconnected() {
@@ -509,7 +509,7 @@
             }
             let Ok(answer) = router.call(request).await;
             let mut answer = answer.map(|body| Body::new(Guarded::new(body, IdleOnDrop(Arc::clone(client)))));
-            if lifecycle_now.borrow().ready().is_err() || client.closing.load(Ordering::Relaxed) {
+            if watched.borrow().ready().is_err() || client.closing.load(Ordering::Relaxed) {
                 answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
             Ok(answer)
@@ -559,7 +559,7 @@
                 closing = true;
                 client.closing.store(true, Ordering::Relaxed);
             }
-            () = client.end.notified() => {
+            () = client.evict.notified() => {
                 code = Some("over_budget");
                 client.closing.store(true, Ordering::Relaxed);
             }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -66,9 +66,9 @@
 fn main() -> ExitCode {
     // Started by the platform without arguments: skip command-line parsing, whose memory would stay allocated
     // for the life of the process.
-    let alone = std::env::args_os().len() == 1 && std::env::var_os("CRANKPICK_FLEET").is_none();
-    let cli = if alone { Cli::default() } else { Cli::parse() };
-    let done = match &cli.command {
+    let no_arguments = std::env::args_os().len() == 1 && std::env::var_os("CRANKPICK_FLEET").is_none();
+    let cli = if no_arguments { Cli::default() } else { Cli::parse() };
+    let result = match &cli.command {
         None => serve(cli.log, &cli.serve).map(|()| None),
         Some(Command::Serve(with)) => {
             let fleet = with.fleet.clone().or(cli.serve.fleet.clone());
@@ -77,10 +77,10 @@
         Some(Command::Check { file, name }) => check(file, name.as_deref()).map(Some),
         Some(Command::Fleet(command)) => operate::run(command).map(Some),
     };
-    match done {
-        Ok(said) => {
+    match result {
+        Ok(output) => {
             // A closed stdout is not an error.
-            let _ = said.map(|said| writeln!(std::io::stdout(), "{said}"));
+            let _ = output.map(|output| writeln!(std::io::stdout(), "{output}"));
             ExitCode::SUCCESS
         }
         Err(error) => {
--- a/crates/proxy/src/operate.rs
+++ b/crates/proxy/src/operate.rs
@@ -20,7 +20,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 fn call(at: SocketAddr, line: &str) -> Result<String, String> {
-    let asked = || {
+    let exchange = || {
         let mut stream = TcpStream::connect_timeout(&at, CONNECT_TIMEOUT)?;
         stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
         stream.write_all(format!("{line}\n").as_bytes())?;
@@ -28,7 +28,7 @@
         BufReader::new(stream).read_line(&mut answer)?;
         Ok(answer)
     };
-    let answer = asked().map_err(|error: std::io::Error| format!("{at}: {error}"))?;
+    let answer = exchange().map_err(|error: std::io::Error| format!("{at}: {error}"))?;
     match answer.trim_end().split_once(' ').unwrap_or((answer.trim_end(), "")) {
         ("YES", said) => Ok(said.to_owned()),
         ("NO", why) => Err(why.to_owned()),
@@ -113,10 +113,10 @@
 }
 
 fn show(name: &str, at: &ProxyTarget) -> Result<String, String> {
-    let (work, sight) = work(at.at)?;
+    let (work, view) = work(at.at)?;
     let plan = work.plans.get(name).ok_or_else(|| format!("no plan {name:?}"))?;
     if at.json {
-        return Ok(json!({"plan": plan, "sight": sight}).to_string());
+        return Ok(json!({"plan": plan, "sight": view}).to_string());
     }
     let Bounds { most_out, least_spare, .. } = plan.bounds;
     let mut lines = vec![
@@ -126,16 +126,16 @@
     if !plan.is_over() && !plan.waits.is_empty() {
         lines.push(format!("waits: {}", plan.waits));
     }
-    let (told, silent) = (sight.told, sight.proxies - sight.in_touch);
-    lines.push(format!("seen by {told} of {} proxies, {silent} silent", sight.proxies));
+    let (told, silent) = (view.told, view.proxies - view.in_touch);
+    lines.push(format!("seen by {told} of {} proxies, {silent} silent", view.proxies));
     for (id, machine) in &plan.machines {
         let place = match machine.is {
             MachineKind::Proxy => "proxy".to_owned(),
             MachineKind::Backend => format!("zone {} cell {}", machine.zone, machine.cell),
         };
         lines.push(format!("  {id} ({place}): {}; {}", machine.stage.name(), machine.why));
-        lines.extend(sight.waits.get(id).into_iter().flatten().map(|why| format!("    waits: {why}")));
-        let objections = sight.objections.iter().filter(|(_, of, _)| of == id);
+        lines.extend(view.waits.get(id).into_iter().flatten().map(|why| format!("    waits: {why}")));
+        let objections = view.objections.iter().filter(|(_, of, _)| of == id);
         lines.extend(objections.map(|(proxy, _, why)| format!("    {proxy} objects: {why}")));
     }
     Ok(lines.join("\n"))
@@ -192,24 +192,24 @@
     let said: Value = serde_json::from_str(&said).map_err(|error| error.to_string())?;
     let version = said["version"].as_u64().unwrap_or(0);
     let until = Instant::now() + Duration::try_from_secs_f64(backends.wait).unwrap_or_default();
-    let (mut acted, mut missing) = (Vec::new(), vec!["nobody could be asked".to_owned()]);
+    let (mut acted, mut pending) = (Vec::new(), vec!["nobody could be asked".to_owned()]);
     loop {
         if let Ok(status) = status(backends.at.at) {
-            missing = pending_members(&status, version);
+            pending = pending_members(&status, version);
             let there = status.members.iter().filter(|one| one.acted >= version);
             acted = there.map(|one| one.name.clone()).collect();
         }
-        if missing.is_empty() || Instant::now() >= until {
+        if pending.is_empty() || Instant::now() >= until {
             break;
         }
         std::thread::sleep(POLL_INTERVAL);
     }
     if backends.at.json {
-        return Ok(json!({"version": version, "acted": acted, "behind": missing}).to_string());
+        return Ok(json!({"version": version, "acted": acted, "behind": pending}).to_string());
     }
     let mut lines = vec![format!("agreed: version {version}"), format!("acted: {}", acted.join(" "))];
-    if !missing.is_empty() {
-        lines.push(format!("not yet: {}", missing.join(" ")));
+    if !pending.is_empty() {
+        lines.push(format!("not yet: {}", pending.join(" ")));
     }
     Ok(lines.join("\n"))
 }
--- a/crates/proxy/src/query.rs
+++ b/crates/proxy/src/query.rs
@@ -135,11 +135,11 @@
                     let too_late = Lifecycle::too_late(proxy.lifecycle.clone());
                     // An execution that has not begun ends with its query, or when the time in which duplicates
                     // are recognised is over.
-                    let begin = Duration::from_micros(begin_within_us).saturating_sub(proxy.backends.max_send_delay());
+                    let begin_within = Duration::from_micros(begin_within_us).saturating_sub(proxy.backends.max_send_delay());
                     let mut dropped = active.alive.subscribe();
                     let unwanted = async move {
                         let gone = async { while dropped.changed().await.is_ok() {} };
-                        let _ = timeout(begin, gone).await;
+                        let _ = timeout(begin_within, gone).await;
                     };
                     let execution =
                         backends.execute(backend, head, wait, not_retryable, payload, body, too_late, unwanted);
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -181,7 +181,7 @@
     );
     let known: List = at(&config, "known")?;
     discovery.load_known(&known).map_err(|error| format!("known: {error}"))?;
-    let (moved, prefix) = watch::channel(address(&config, "discovery")?);
+    let (discovery_address, prefix) = watch::channel(address(&config, "discovery")?);
     let mut heard = discovery.heard();
     tokio::spawn(discovery.follow(prefix, list_wanted));
     let balancer_for_peers = Arc::clone(&balancer);
@@ -194,9 +194,15 @@
 
     let controller = LifecycleController::new(fleet.as_ref().map(Fleet::right));
     let on_lifecycle = controller.follow();
-    let (ended, ending) = watch::channel(false);
+    let (end_queries, ending) = watch::channel(false);
     let (request_config, on_request_config) = watch::channel(Arc::new(initial_config));
-    tokio::spawn(reload::follow(hangup, config.clone(), Arc::clone(&balancer), request_config, moved));
+    tokio::spawn(reload::follow(
+        hangup,
+        config.clone(),
+        Arc::clone(&balancer),
+        request_config,
+        discovery_address,
+    ));
     let retry_after_us = crankpick_launch::limits(settings)?.max_backoff_us.min(RETRY_AFTER_US);
     let (request_config, lifecycle, right) =
         (on_request_config.clone(), on_lifecycle.clone(), fleet.as_ref().map(Fleet::right));
@@ -246,7 +252,7 @@
         tracing::info!(code = "stopping", "told to end");
         controller.end();
         sleep(ANSWER_DEADLINE).await;
-        let _ = ended.send(true);
+        let _ = end_queries.send(true);
         sleep(WRITE_DEADLINE).await;
     };
     tokio::select! {
--- a/crates/proxy/tests/sockets/daily.rs
+++ b/crates/proxy/tests/sockets/daily.rs
@@ -1,6 +1,6 @@
-//! What operators do to the program while it serves.
+//! Tests of operators' actions on a running proxy.
 
-use crate::stand_ins::*;
+use crate::test_doubles::*;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -8,27 +8,27 @@
 
 const READY: &[u8] = b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
-fn operated(discovery: &Discovery, backends: &[SocketAddr]) -> Value {
-    let mut told = configuration(discovery, backends);
-    told["admin_addr"] = json!("127.0.0.1:0");
-    told
+fn with_admin(discovery: &Discovery, backends: &[SocketAddr]) -> Value {
+    let mut configured = configuration(discovery, backends);
+    configured["admin_addr"] = json!("127.0.0.1:0");
+    configured
 }
 
 #[test]
 fn a_call_is_one_line_and_callers_that_end_none_hold_up_nobody() {
     let discovery = Discovery::start();
-    let proxy = Proxy::start(&operated(&discovery, &[refusing_address()]));
+    let proxy = Proxy::start(&with_admin(&discovery, &[refusing_address()]));
     let asked = Instant::now();
     let mut unended: Vec<Client> = (0..40).map(|_| proxy.caller()).collect();
     unended[39].say(b"PING");
     assert_eq!(proxy.call("PING\n"), "YES\n");
     assert_eq!(proxy.call("  PING \r\n"), "YES\n");
     let long = "PING ".repeat(400) + "\n";
-    for wrong in
+    for invalid in
         ["\n", "ping\n", "PING x\n", "PONG\n", "LAMEDUCK now\n", "\u{e9}\n", "PING\0\n", long.as_str()]
     {
-        let answer = proxy.call(wrong);
-        assert!(answer.starts_with("NO ") && answer.ends_with('\n'), "{wrong:?}: {answer:?}");
+        let answer = proxy.call(invalid);
+        assert!(answer.starts_with("NO ") && answer.ends_with('\n'), "{invalid:?}: {answer:?}");
     }
     let mut bytes = proxy.caller();
     bytes.say(b"\xff\xfe PING\n");
@@ -46,7 +46,7 @@
 fn a_drained_proxy_answers_what_comes_and_closes_until_it_rejoins() {
     let discovery = Discovery::start();
     let sound = Backend::answering(|asked| asked.answer(200, "", "ok"));
-    let proxy = Proxy::start(&operated(&discovery, &[sound]));
+    let proxy = Proxy::start(&with_admin(&discovery, &[sound]));
     let (mut used, mut idle, mut fresh) = (proxy.client(), proxy.client(), proxy.client());
     for (turn, client) in [&mut used, &mut idle].into_iter().enumerate() {
         client.ask("read", &format!("before{turn}"), 2_000);
@@ -55,7 +55,7 @@
     let drained = Instant::now();
     assert_eq!((proxy.call("LAMEDUCK\n"), proxy.call("LAMEDUCK\n")), ("YES\n".into(), "YES\n".into()));
     assert!(proxy.call("PING\n").starts_with("NO "));
-    // What was opened before, or comes in spite of it, is served; each answer closes.
+    // Connections opened before the drain, or in spite of it, are served; each response closes.
     let mut late = proxy.client();
     late.say(READY);
     assert_eq!(late.heard().status(), 503);
@@ -85,16 +85,16 @@
     let (discovery, backend) = (Discovery::start(), Backend::start());
     let platform = Platform::new("upgrade");
     let notes = UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr()).expect("a free port");
-    let mut told = operated(&discovery, &[backend.address]);
-    told["peer_listen"] = json!(notes.to_string());
-    let mut old = platform.start(&told);
+    let mut configured = with_admin(&discovery, &[backend.address]);
+    configured["peer_listen"] = json!(notes.to_string());
+    let mut old = platform.start(&configured);
     let (mut busy, mut kept) = (old.client(), old.client());
     kept.ask("read", "before", 3_000);
     backend.next().answer(200, "", "ok");
     assert_eq!(kept.heard().status(), 200);
     busy.ask("pay", "taken", 3_000);
     let mut taken = backend.next();
-    let new = platform.start(&told);
+    let new = platform.start(&configured);
     assert_eq!(new.call("PING\n"), "YES\n");
     old.logged("code=\"processes\" others=1");
     old.terminate();
@@ -120,12 +120,12 @@
     let discovery = Discovery::start();
     let sound = Backend::answering(|asked| asked.answer(200, "", "ok"));
     let mut platform = Platform::new("gone");
-    platform.folder.push("not-there");
-    let proxy = platform.start(&operated(&discovery, &[sound]));
+    platform.directory.push("not-there");
+    let proxy = platform.start(&with_admin(&discovery, &[sound]));
     assert_eq!(proxy.call("PING\n"), "YES\n");
     assert!(proxy.call("DETACH s-0\n").starts_with("NO "), "what can't be kept is not promised");
     assert_eq!(proxy.call("DETACH nobody\n"), "NO no backend \"nobody\" is known\n");
-    platform.folder.pop();
+    platform.directory.pop();
 }
 
 #[test]
@@ -149,11 +149,11 @@
 fn a_backend_out_by_hand_gets_nothing_from_either_process_until_it_is_back() {
     let (discovery, out, stays) = (Discovery::start(), Backend::start(), Backend::start());
     let platform = Platform::new("by-hand");
-    let told = operated(&discovery, &[out.address, stays.address]);
-    let old = platform.start(&told);
+    let configured = with_admin(&discovery, &[out.address, stays.address]);
+    let old = platform.start(&configured);
     let mut watch = discovery.next();
-    for wrong in ["DETACH\n", "DETACH nobody\n", "ATTACH nobody\n", "DETACH s-0 s-1\n", "DETACH s-00\n"] {
-        assert!(old.call(wrong).starts_with("NO "), "{wrong}");
+    for invalid in ["DETACH\n", "DETACH nobody\n", "ATTACH nobody\n", "DETACH s-0 s-1\n", "DETACH s-00\n"] {
+        assert!(old.call(invalid).starts_with("NO "), "{invalid}");
     }
     assert_eq!((old.call("DETACH s-0\n"), old.call("DETACH s-0\n")), ("YES\n".into(), "YES\n".into()));
     let shun = |proxy: &Proxy, after: &str| {
@@ -166,15 +166,15 @@
         assert!(out.is_quiet(), "{after}");
     };
     shun(&old, "out");
-    // It leaves the list and comes back started anew: it is out all the same.
+    // The backend leaves the list and comes back restarted: it must still be out.
     watch.say(&list(42, false, vec![instance("s-0", out.address, "DELETED")]).to_string());
     let mut anew = instance("s-0", out.address, "SERVING");
     anew["startedAtMs"] = json!(1);
     watch.say(&list(43, false, vec![anew]).to_string());
     shun(&old, "listed");
-    let new = platform.start(&told);
+    let new = platform.start(&configured);
     shun(&new, "upgraded");
-    // A call at one binds the other, whichever it is.
+    // A call at either process applies to both.
     for (one, other) in [(&old, &new), (&new, &old)] {
         assert_eq!(one.call("ATTACH s-0\n"), "YES\n");
         other.logged("code=\"back_by_hand\"");
@@ -187,10 +187,10 @@
     let mut client = new.client();
     for turn in 0..20 {
         client.ask("read", &format!("back{turn}"), 2_000);
-        let mut asked = first_of(&[&out, &stays]);
+        let mut asked = next_of(&[&out, &stays]);
         asked.answer(200, "", "ok");
         assert_eq!(client.heard().status(), 200);
-        if asked.place() == out.address {
+        if asked.backend_address() == out.address {
             return;
         }
     }
@@ -200,11 +200,11 @@
 #[test]
 fn a_damaged_file_of_those_out_by_hand_is_told_and_stops_nobody() {
     let (discovery, platform) = (Discovery::start(), Platform::new("damaged"));
-    let told = operated(&discovery, &[refusing_address()]);
-    std::fs::write(platform.folder.join("crankpick-127.0.0.1:0.out.json"), "[\"s-0\"").expect("writable");
+    let configured = with_admin(&discovery, &[refusing_address()]);
+    std::fs::write(platform.directory.join("crankpick-127.0.0.1:0.out.json"), "[\"s-0\"").expect("writable");
     let mut program = program("");
-    program.env("TMPDIR", &platform.folder);
-    let (mut child, mut log, _) = launch(&told, program);
+    program.env("TMPDIR", &platform.directory);
+    let (mut child, mut log, _) = launch(&configured, program);
     let mut said = String::new();
     while !said.contains("code=\"listening\"") {
         assert!(log.read_line(&mut said).expect("text") > 0, "{said}");
@@ -213,15 +213,15 @@
     let _ = child.kill().and_then(|()| child.wait());
 }
 
-/// Far more than is kept, or than buffers hold between a client and a backend.
+/// Far more than the proxy buffers, or than socket buffers hold on the way.
 const LONG: usize = 24 << 20;
 
 fn head(id: &str, said: &str) -> String {
     format!("POST /pay/x HTTP/1.1\r\nHost: x\r\nX-Request-Id: {id}\r\nX-Deadline: 2000m\r\n{said}\r\n")
 }
 
-/// A backend that does as it is told with each connection.
-fn by_hand() -> (TcpListener, SocketAddr) {
+/// A backend whose connections are handled by the test itself.
+fn manual_backend() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("bound");
     (listener, address)
@@ -243,8 +243,8 @@
 
 #[test]
 fn a_long_body_reaches_the_backend_while_the_client_still_sends_it() {
-    let (discovery, (listener, address)) = (Discovery::start(), by_hand());
-    let proxy = Proxy::start(&operated(&discovery, &[address]));
+    let (discovery, (listener, address)) = (Discovery::start(), manual_backend());
+    let proxy = Proxy::start(&with_admin(&discovery, &[address]));
     let part = vec![b'x'; LONG / 4];
     for said in [format!("Content-Length: {LONG}\r\n"), "Transfer-Encoding: chunked\r\n".to_owned()] {
         let chunked = said.contains("chunked");
@@ -262,9 +262,9 @@
         let all = std::thread::scope(|scope| {
             scope.spawn(|| send(&mut client));
             let mut backend = accepted(&listener);
-            let told = head_of(&mut backend).to_lowercase();
-            assert!(told.contains(&said.to_lowercase()), "{told}");
-            // Some of it, before the client has sent the rest.
+            let received_head = head_of(&mut backend).to_lowercase();
+            assert!(received_head.contains(&said.to_lowercase()), "{received_head}");
+            // Part of it arrives before the client has sent the rest.
             backend.read_exact(&mut vec![0; LONG / 8]).expect("it flows");
             backend
         });
@@ -280,13 +280,13 @@
             while left > 0 {
                 let read = backend.fill_buf().expect("more").len();
                 assert!(read > 0, "cut off with {left} to come");
-                // No more than is counted: behind it comes what ends the body.
+                // Leave the bytes behind the body, which end it, unread.
                 let read = read.min(left);
                 left -= read;
                 backend.consume(read);
             }
             if chunked {
-                // What frames its chunks is some more.
+                // The chunk framing adds some bytes.
                 let mut rest = Vec::new();
                 while !rest.ends_with(b"0\r\n\r\n") {
                     assert!(backend.read_until(b'\n', &mut rest).expect("an end") > 0);
@@ -300,11 +300,11 @@
 
 #[test]
 fn what_is_no_longer_kept_goes_to_no_other_backend() {
-    let (discovery, (one, first), (two, second)) = (Discovery::start(), by_hand(), by_hand());
-    let mut told = operated(&discovery, &[first, second]);
-    // Where a broken execution of a short one would go on elsewhere.
-    told["settings"]["Workloads"][1]["Repeat"] = json!("dedup");
-    let proxy = Proxy::start(&told);
+    let (discovery, (one, first), (two, second)) = (Discovery::start(), manual_backend(), manual_backend());
+    let mut configured = with_admin(&discovery, &[first, second]);
+    // With this setting a failed execution of a short body would be retried elsewhere.
+    configured["settings"]["Workloads"][1]["Repeat"] = json!("dedup");
+    let proxy = Proxy::start(&configured);
     let mut client = proxy.client();
     client.say(head("gone", &format!("Idempotency-Key: k\r\nContent-Length: {LONG}\r\n")).as_bytes());
     client.say(&vec![b'x'; 1 << 20]);
@@ -323,12 +323,12 @@
     assert!([&one, &two].iter().all(|listener| listener.accept().is_err()));
 }
 
-/// It may have run: no rejection, and no answer before its time is up, which counts from there.
+/// It may have run, so it must not be rejected; its deadline counts from the end of the body.
 #[test]
 fn a_long_body_that_has_gone_whole_may_have_run() {
-    let (discovery, (listener, address)) = (Discovery::start(), by_hand());
-    let proxy = Proxy::start(&operated(&discovery, &[address]));
-    for breaks in [true, false] {
+    let (discovery, (listener, address)) = (Discovery::start(), manual_backend());
+    let proxy = Proxy::start(&with_admin(&discovery, &[address]));
+    for disconnects in [true, false] {
         let mut client = proxy.client();
         client.say(
             head("whole", &format!("Content-Length: {}\r\n", 1 << 20)).replace("2000m", "700m").as_bytes(),
@@ -338,37 +338,37 @@
         head_of(&mut backend);
         backend.read_exact(&mut vec![0; 1 << 20]).expect("all of it");
         let gone = Instant::now();
-        if breaks {
+        if disconnects {
             backend.get_mut().shutdown(std::net::Shutdown::Both).expect("shut");
         }
-        assert_eq!(client.heard().status(), 502, "{breaks}");
-        assert!(gone.elapsed() < Duration::from_millis(1_000), "{breaks}: {:?}", gone.elapsed());
+        assert_eq!(client.heard().status(), 502, "{disconnects}");
+        assert!(gone.elapsed() < Duration::from_millis(1_000), "{disconnects}: {:?}", gone.elapsed());
     }
 }
 
-/// The kill may come before its answer would: what has not come whole soon after the signal is turned back.
+/// SIGKILL may arrive before its response: a body that isn't complete soon after SIGTERM is rejected.
 #[test]
 fn a_body_that_is_not_whole_soon_after_the_end_was_told_is_turned_back() {
-    let (discovery, (listener, address)) = (Discovery::start(), by_hand());
-    let proxy = Proxy::start(&operated(&discovery, &[address]));
+    let (discovery, (listener, address)) = (Discovery::start(), manual_backend());
+    let proxy = Proxy::start(&with_admin(&discovery, &[address]));
     let (mut short, mut long) = (proxy.client(), proxy.client());
     short.say((head("short", "Content-Length: 9\r\n") + "some").as_bytes());
     long.say(head("long", "Content-Length: 3000000\r\n").as_bytes());
     long.say(&vec![b'x'; 1 << 20]);
     let mut backend = accepted(&listener);
     backend.read_exact(&mut vec![0; 512 << 10]).expect("more than is kept");
-    let told = Instant::now();
+    let signalled = Instant::now();
     proxy.terminate();
     assert_eq!((long.heard().status(), short.heard().status()), (503, 408), "neither has run");
-    assert!(told.elapsed() < Duration::from_millis(1_500), "{:?}", told.elapsed());
+    assert!(signalled.elapsed() < Duration::from_millis(1_500), "{:?}", signalled.elapsed());
 }
 
 #[test]
 fn a_long_answer_flows_and_waits_for_a_client_that_reads_slowly() {
-    let (discovery, (listener, address)) = (Discovery::start(), by_hand());
-    let mut told = operated(&discovery, &[address]);
-    told["limits"]["memory_mb"] = json!(16);
-    let proxy = Proxy::start(&told);
+    let (discovery, (listener, address)) = (Discovery::start(), manual_backend());
+    let mut configured = with_admin(&discovery, &[address]);
+    configured["limits"]["memory_mb"] = json!(16);
+    let proxy = Proxy::start(&configured);
     for said in [format!("Content-Length: {LONG}\r\n"), "Connection: close\r\n".to_owned()] {
         let mut client = proxy.client();
         client.ask("pay", "long", 1_000);
@@ -379,7 +379,8 @@
         let backend = backend.get_mut();
         backend.write_all(format!("HTTP/1.1 200 OK\r\n{said}\r\n").as_bytes()).expect("written");
         backend.write_all(&vec![b'x'; 256 << 10]).expect("written");
-        // The first of it is here before the last was made, and a pause past its deadline does not end it.
+        // The first bytes arrive before the last are produced, and a pause beyond the deadline does not end the
+        // response.
         assert_eq!(client.status_line(), 200);
         std::thread::scope(|scope| {
             scope.spawn(|| {
@@ -394,11 +395,11 @@
     }
 }
 
-/// Of no told length, it may be long: at its deadline it goes on as far as it is there, and is not cut off.
+/// A response of unknown length may be long: at its deadline it is streamed, not cut off.
 #[test]
 fn an_answer_that_comes_slowly_past_its_deadline_is_not_cut_off() {
-    let (discovery, (listener, address)) = (Discovery::start(), by_hand());
-    let proxy = Proxy::start(&operated(&discovery, &[address]));
+    let (discovery, (listener, address)) = (Discovery::start(), manual_backend());
+    let proxy = Proxy::start(&with_admin(&discovery, &[address]));
     let mut client = proxy.client();
     client.ask("pay", "slow", 600);
     let mut backend = accepted(&listener);
@@ -421,8 +422,8 @@
 
 #[test]
 fn an_answer_that_flows_as_the_process_ends_flows_to_its_end() {
-    let (discovery, (listener, address)) = (Discovery::start(), by_hand());
-    let mut proxy = Proxy::start(&operated(&discovery, &[address]));
+    let (discovery, (listener, address)) = (Discovery::start(), manual_backend());
+    let mut proxy = Proxy::start(&with_admin(&discovery, &[address]));
     let mut client = proxy.client();
     client.ask("pay", "long", 1_000);
     let mut backend = accepted(&listener);
@@ -432,7 +433,7 @@
         .get_mut()
         .write_all(format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n").as_bytes())
         .expect("written");
-    let told = Instant::now();
+    let signalled = Instant::now();
     proxy.terminate();
     std::thread::scope(|scope| {
         scope.spawn(|| {
@@ -444,13 +445,13 @@
         assert_eq!(client.status_line(), 200);
         client.rest(LONG, Duration::ZERO);
     });
-    assert!(told.elapsed() > Duration::from_secs(4) && proxy.ended().success());
+    assert!(signalled.elapsed() > Duration::from_secs(4) && proxy.ended().success());
 }
 
 #[test]
 fn all_forms_of_a_request_are_served() {
     let (discovery, backend) = (Discovery::start(), Backend::start());
-    let proxy = Proxy::start(&operated(&discovery, &[backend.address]));
+    let proxy = Proxy::start(&with_admin(&discovery, &[backend.address]));
     let mut client = proxy.client();
     let serve = |client: &mut Client, said: &[u8], body: &[u8]| {
         client.say(said);
@@ -468,7 +469,7 @@
     client.say(head("expects", "Content-Length: 2\r\nExpect: 100-continue\r\n").as_bytes());
     assert_eq!(client.status_line(), 100);
     serve(&mut client, b"ok", b"ok");
-    // Both are sent before either is answered, and each is answered in turn.
+    // Both are sent before either is answered; they are answered in order.
     let pair = head("one", "Content-Length: 1\r\n") + "1" + &head("two", "Content-Length: 1\r\n") + "2";
     serve(&mut client, pair.as_bytes(), b"1");
     serve(&mut client, b"", b"2");
@@ -478,12 +479,12 @@
     assert!(old.hear().is_none());
 }
 
-/// A client may take 2 s for a head, after a rest, and longer for a body that keeps coming.
+/// A client may take 2 s for a head, also after an idle time, and longer for a body that makes progress.
 #[test]
 fn slow_clients_are_served_and_those_that_stand_still_are_not() {
     let discovery = Discovery::start();
     let sound = Backend::answering(|asked| asked.answer(200, "", "ok"));
-    let proxy = Proxy::start(&operated(&discovery, &[sound]));
+    let proxy = Proxy::start(&with_admin(&discovery, &[sound]));
     let mut client = proxy.client();
     client.ask("read", "first", 1_000);
     assert_eq!(client.heard().status(), 200);
@@ -504,13 +505,14 @@
 #[test]
 fn settings_change_for_queries_to_come_and_open_ones_keep_theirs() {
     let (discovery, one, other) = (Discovery::start(), Backend::start(), Backend::start());
-    let first = operated(&discovery, &[one.address, other.address]);
-    let next = || first_of(&[&one, &other]);
+    let first = with_admin(&discovery, &[one.address, other.address]);
+    let next = || next_of(&[&one, &other]);
     let proxy = Proxy::start(&first);
     let mut open = proxy.client();
     open.ask("read", "open", 2_000);
     let mut held = next();
-    // What may be repeated is no longer, a workload comes and one goes, and there is one execution to each.
+    // A retryable workload becomes non-retryable, one is added and one removed, and only one execution is
+    // allowed.
     let mut second = first.clone();
     second["settings"]["Workloads"] = json!([workload("new", "fragile"), workload("read", "fragile")]);
     second["settings"]["Limits"]["MaxExecutions"] = json!(1);
@@ -528,7 +530,7 @@
         asked.answer(500, "", "");
         assert_eq!(client.heard().status(), 502, "one chance, and one execution");
     }
-    // The open one may still be repeated, with as many executions as it came with.
+    // The running query may still be retried, with the limits that it started with.
     held.answer(500, "", "");
     let mut again = next();
     assert_eq!(again.message.header("x-request-id"), Some("open"));
@@ -544,7 +546,7 @@
 #[test]
 fn of_a_broken_file_nothing_is_taken() {
     let (discovery, backend) = (Discovery::start(), Backend::start());
-    let sound = operated(&discovery, &[backend.address]);
+    let sound = with_admin(&discovery, &[backend.address]);
     let proxy = Proxy::start(&sound);
     let mut changed = sound.clone();
     changed["settings"]["Workloads"][0]["Name"] = json!("renamed");
@@ -565,11 +567,11 @@
         "/settings/Safety",
         "/limits/sockets",
     ] {
-        let mut told = changed.clone();
+        let mut configured = changed.clone();
         let (holder, key) = path.rsplit_once('/').expect("a path");
-        let holder = told.pointer_mut(holder).and_then(Value::as_object_mut).expect("there");
+        let holder = configured.pointer_mut(holder).and_then(Value::as_object_mut).expect("there");
         holder.remove(key).expect("there before");
-        broken.push(told.to_string());
+        broken.push(configured.to_string());
     }
     for (path, value) in [
         ("Limits/MaxExecutions", json!(0)),
@@ -585,9 +587,9 @@
         ("Workloads/1/Name", json!("move")),
         ("Workloads/0/Repeat", json!("often")),
     ] {
-        let mut told = changed.clone();
-        *told["settings"].pointer_mut(&format!("/{path}")).expect("there") = value;
-        broken.push(told.to_string());
+        let mut configured = changed.clone();
+        *configured["settings"].pointer_mut(&format!("/{path}")).expect("there") = value;
+        broken.push(configured.to_string());
     }
     for text in broken {
         proxy.reconfigure(&text);
@@ -602,21 +604,23 @@
     proxy.logged("code=\"reloaded\"");
 }
 
-/// Idle connections make room, or are told to end, while requests lie in their sockets that it has not seen.
+/// Idle connections are closed to make room, or because they timed out, while their sockets hold requests that
+/// the suspended process has not seen.
 #[test]
 fn what_came_while_it_stood_still_is_answered() {
     let discovery = Discovery::start();
     let sound = Backend::answering(|asked| asked.answer(200, "", "ok"));
-    let mut told = operated(&discovery, &[sound]);
-    told["limits"]["sockets"] = json!(96);
-    let proxy = Proxy::start(&told);
+    let mut configured = with_admin(&discovery, &[sound]);
+    configured["limits"]["sockets"] = json!(96);
+    let proxy = Proxy::start(&configured);
     let mut clients: Vec<Client> = (0..20).map(|_| proxy.client()).collect();
     for (turn, client) in clients.iter_mut().enumerate() {
         client.ask("read", &format!("before{turn}"), 3_000);
         assert_eq!(client.heard().status(), 200);
     }
     proxy.stopped(|| {
-        // Longer than idle connections have, and more new ones than it has room for beside the idle.
+        // Longer than the idle timeout of new connections, with more new connections than there is room for
+        // beside the idle ones.
         std::thread::sleep(Duration::from_millis(2_400));
         clients.extend((0..30).map(|_| proxy.client()));
         for (turn, client) in clients.iter_mut().enumerate() {
--- a/crates/proxy/tests/sockets/main.rs
+++ b/crates/proxy/tests/sockets/main.rs
@@ -1,15 +1,15 @@
-//! The program as its neighbours meet it: started for each case, spoken to over sockets.
+//! Tests of the proxy binary over sockets. Each test starts its own process.
 
 mod daily;
 mod races;
 mod random;
-mod stand_ins;
+mod test_doubles;
 
 use serde_json::json;
-use stand_ins::*;
 use std::net::UdpSocket;
 use std::sync::mpsc::TryRecvError;
 use std::time::{Duration, Instant};
+use test_doubles::*;
 
 #[test]
 fn passes_on_the_bytes_that_came_and_keeps_its_connections() {
@@ -51,17 +51,17 @@
 #[test]
 fn limits_that_are_not_named_bind_nobody() {
     let (discovery, backend) = (Discovery::start(), Backend::start());
-    let mut told = configuration(&discovery, &[backend.address]);
+    let mut configured = configuration(&discovery, &[backend.address]);
     for (place, name) in [
         ("/settings/Limits", "ConnectTimeoutUs"),
         ("/settings/Limits", "IdleCloseUs"),
         ("/settings/Workloads/1", "StatementTimeoutUs"),
         ("/limits", "sockets"),
     ] {
-        let holder = told.pointer_mut(place).and_then(|holder| holder.as_object_mut());
+        let holder = configured.pointer_mut(place).and_then(|holder| holder.as_object_mut());
         holder.expect("there").remove(name).expect("there before");
     }
-    let proxy = Proxy::start(&told);
+    let proxy = Proxy::start(&configured);
     let mut client = proxy.client();
     for id in ["first", "second"] {
         client.ask("pay", id, 2_000);
@@ -124,7 +124,8 @@
     assert!(backend.is_quiet());
 }
 
-/// Each is answered or closed within 3 s of connecting, however long the queries of others may take.
+/// Each such client gets a response or is closed within 3 s of connecting, independent of the timeouts of
+/// queries.
 #[test]
 fn clients_that_do_not_end_what_they_say_are_ended() {
     let (discovery, backend) = (Discovery::start(), Backend::start());
@@ -138,7 +139,7 @@
     let body = "POST /pay/1 HTTP/1.1\r\nX-Request-Id: a\r\nContent-Length: 10\r\n\r\n12345";
     let (mut late, mut silent, mut half) = (client(body), client(""), client("GET /read/1 HTT"));
     let mut unread = proxy.client();
-    // Each answer is several times its request, so none of the buffers between holds them all.
+    // Each response is several times the size of its request, so that the buffers can't hold them all.
     unread.say_and_never_read("GET /other HTTP/1.1\r\n\r\n".repeat(400_000).as_bytes());
     assert_eq!(late.heard().status(), 408);
     assert!(late.hear().is_none() && silent.hear().is_none() && half.hear().is_none());
@@ -151,9 +152,9 @@
 fn a_crowd_that_says_nothing_makes_way_for_clients_that_ask() {
     let discovery = Discovery::start();
     let sound = Backend::answering(|asked| asked.answer(200, "", "ok"));
-    let mut told = configuration(&discovery, &[sound]);
-    told["limits"]["sockets"] = json!(72);
-    let proxy = Proxy::start(&told);
+    let mut configured = configuration(&discovery, &[sound]);
+    configured["limits"]["sockets"] = json!(72);
+    let proxy = Proxy::start(&configured);
     let asked = Instant::now();
     let mut crowd = Vec::new();
     for turn in 0..8 {
@@ -165,7 +166,7 @@
     assert!(asked.elapsed() < Duration::from_secs(2), "they wait for the crowd's own end");
 }
 
-/// Long before the budget is spent, and before their time is up.
+/// Happens long before the budget is exhausted, and before the idle timeout.
 #[test]
 fn those_that_asked_once_and_stay_end_past_a_quarter_of_the_descriptors() {
     let discovery = Discovery::start();
@@ -189,7 +190,7 @@
     let mut client = proxy.client();
     for number in 0..6 {
         client.ask("read", &format!("q{number}"), 2_000);
-        first_of(&[&backend, &other]).answer(400, "", "");
+        next_of(&[&backend, &other]).answer(400, "", "");
         assert_eq!(client.heard().status(), 400);
     }
     assert!(backend.is_quiet() && other.is_quiet());
@@ -222,7 +223,7 @@
     }
 }
 
-/// The connection stays open and the backend silent, or it goes on for ever: the query does not wait for that.
+/// The backend goes silent with the connection open, or sends without end: the query must not wait for that.
 #[test]
 fn an_answer_that_does_not_end_ends_its_connection() {
     let (discovery, backend) = (Discovery::start(), Backend::start());
@@ -313,7 +314,8 @@
     assert!(backend.is_quiet());
 }
 
-/// They end under the next request; one that can't be sent again takes its own, till kept ones hold again.
+/// The backend closes them under the next request. A request that can't be retried then uses a new connection,
+/// until pooled ones are reliable again.
 #[test]
 fn where_kept_connections_are_often_dead_one_chance_gets_a_new_one() {
     let (discovery, backend) = (Discovery::start(), Backend::start());
@@ -377,7 +379,7 @@
     assert_eq!(client.heard().status(), 502);
     assert!(sent.elapsed() < Duration::from_millis(850), "{:?}", sent.elapsed());
     assert_eq!(backend.closed.recv_timeout(PATIENCE), Ok(asked.connection));
-    // The client that leaves takes its query along.
+    // A client that disconnects cancels its query.
     let mut leaving = proxy.client();
     leaving.ask("pay", "gone", 3_000);
     let asked = backend.next();
@@ -390,9 +392,9 @@
 #[test]
 fn where_nothing_may_be_called_off_a_given_up_execution_runs_to_its_end() {
     let (discovery, backend) = (Discovery::start(), Backend::start());
-    let mut told = configuration(&discovery, &[backend.address]);
-    told["settings"]["Limits"]["Cancel"] = json!(false);
-    let proxy = Proxy::start(&told);
+    let mut configured = configuration(&discovery, &[backend.address]);
+    configured["settings"]["Limits"]["Cancel"] = json!(false);
+    let proxy = Proxy::start(&configured);
     let mut leaving = proxy.client();
     leaving.ask("pay", "gone", 3_000);
     let mut asked = backend.next();
@@ -411,13 +413,13 @@
 #[test]
 fn idle_connections_end_before_the_backend_would_end_them() {
     let (discovery, backend) = (Discovery::start(), Backend::start());
-    let mut told = configuration(&discovery, &[backend.address]);
-    told["settings"]["Limits"]["IdleCloseUs"] = json!(2_000_000);
-    let proxy = Proxy::start(&told);
+    let mut configured = configuration(&discovery, &[backend.address]);
+    configured["settings"]["Limits"]["IdleCloseUs"] = json!(2_000_000);
+    let proxy = Proxy::start(&configured);
     let mut client = proxy.client();
     for id in ["first", "second"] {
-        // The client library looks for old connections now and then, from the first one on: the second
-        // query falls between two looks, and only the connection itself ends in time.
+        // hyper-util checks for idle connections at intervals from the first one on: the second query falls
+        // between two checks, so that only the connection's own timer closes it in time.
         std::thread::sleep(Duration::from_millis(if id == "first" { 0 } else { 600 }));
         client.ask("read", id, 2_000);
         backend.next().answer(200, "", "ok");
@@ -437,15 +439,15 @@
     assert_eq!(watch.asked, "GET /api/targets?watch=1&after=41 HTTP/1.1");
     let change = vec![instance("s-0", old.address, "DRAINING"), instance("s-1", new.address, "SERVING")];
     watch.say("");
-    // Indented, so over many lines.
+    // Indented, over several lines.
     watch.say(&format!("{:#}", list(43, false, change)));
-    // An entry that nobody understands holds up neither the others nor the proxy.
+    // An invalid entry blocks neither the other entries nor the proxy.
     let odd = json!({"instanceId": "s-2", "hostPort": "nowhere", "lifecycle": "SERVING"});
     watch.say(&list(44, false, vec![odd, instance("s-0", old.address, "ASLEEP")]).to_string());
     proxy.logged("code=\"entry_unsound\"");
     watch.say("no JSON");
     proxy.logged("code=\"watch_ended\"");
-    // What came before the line that nobody understands holds; the next watch begins there.
+    // Entries before the invalid line are applied; the next watch continues from there.
     let mut watch = discovery.next();
     assert!(watch.asked.contains("after=44"), "{}", watch.asked);
     let mut client = proxy.client();
@@ -456,7 +458,7 @@
     }
     assert!(old.is_quiet());
     watch.say(&list(50, true, vec![instance("s-0", old.address, "SERVING")]).to_string());
-    // It stays open and says nothing more, as one does whose machine has vanished.
+    // The watch stays open and silent, as if the machine had vanished.
     assert!(discovery.next().asked.contains("after=50"));
     assert!(proxy.logged("code=\"watch_ended\"").contains("silent"));
     let mut client = proxy.client();
@@ -478,7 +480,7 @@
         let mut watch = discovery.next();
         watch.say(&list(50, true, vec![]).to_string());
         watch.say("no JSON");
-        // The watch after it shows that the list before it was taken in.
+        // A watch that ended shows that the list before it was applied.
         proxy.logged("code=\"watch_ended\"");
         let mut client = proxy.client();
         client.ask("read", "q", 2_000);
@@ -486,7 +488,7 @@
             backend.next().answer(200, "", "ok");
         }
         assert_eq!(client.heard().status(), if loose { 200 } else { 503 });
-        // Once it drains it is out of bounds, also after the list has dropped it.
+        // Once it drains it receives nothing, even after the list has dropped it.
         let mut watch = discovery.next();
         watch.say(&list(51, false, vec![instance("s-0", backend.address, "DRAINING")]).to_string());
         watch.say(&list(52, true, vec![]).to_string());
@@ -557,32 +559,32 @@
 #[test]
 fn answers_what_is_still_in_hand_before_it_is_killed() {
     let (discovery, backend) = (Discovery::start(), Backend::start());
-    let mut told = configuration(&discovery, &[backend.address]);
-    told["settings"]["Workloads"][1]["StatementTimeoutUs"] = json!(60_000_000);
-    let mut proxy = Proxy::start(&told);
+    let mut configured = configuration(&discovery, &[backend.address]);
+    configured["settings"]["Workloads"][1]["StatementTimeoutUs"] = json!(60_000_000);
+    let mut proxy = Proxy::start(&configured);
     let mut client = proxy.client();
     client.ask("pay", "long", 90_000);
     let _asked = backend.next();
-    let told = Instant::now();
+    let signalled = Instant::now();
     proxy.terminate();
     assert_eq!(client.heard().status(), 502);
-    assert!(proxy.ended().success() && told.elapsed() < Duration::from_millis(3_700));
+    assert!(proxy.ended().success() && signalled.elapsed() < Duration::from_millis(3_700));
 }
 
-/// Beyond the budget the longest idle connections make room, on both sides.
+/// Beyond the budget the connections idle for longest are closed, for clients and for backends.
 #[test]
 fn stays_within_its_descriptors_and_outlives_their_end() {
     let discovery = Discovery::start();
     let backends: Vec<Backend> = (0..6).map(|_| Backend::start()).collect();
     let addresses: Vec<_> = backends.iter().map(|backend| backend.address).collect();
-    let mut told = configuration(&discovery, &addresses);
-    told["limits"]["sockets"] = json!(57);
-    let proxy = Proxy::start(&told);
+    let mut configured = configuration(&discovery, &addresses);
+    configured["limits"]["sockets"] = json!(57);
+    let proxy = Proxy::start(&configured);
     let mut clients: Vec<Client> = Vec::new();
     for number in 0..9 {
         let mut client = proxy.client();
         client.ask("read", &format!("q{number}"), 3_000);
-        first_of(&backends.iter().collect::<Vec<_>>()).answer(200, "", "ok");
+        next_of(&backends.iter().collect::<Vec<_>>()).answer(200, "", "ok");
         assert_eq!(client.heard().status(), 200);
         clients.push(client);
     }
@@ -590,7 +592,7 @@
     proxy.logged("backend connection ended code=\"over_budget\"");
     drop((clients, proxy));
 
-    // The same without a budget that binds: the kernel says no, and the proxy goes on.
+    // Without an effective budget the kernel's limit is hit, and the proxy continues.
     let sound = Backend::answering(|asked| asked.answer(200, "", "ok"));
     let proxy = Proxy::started(&configuration(&discovery, &[sound]), program("ulimit -n 24;"));
     let crowd: Vec<Client> = (0..40).map(|_| proxy.client()).collect();
@@ -607,12 +609,12 @@
     let other = UdpSocket::bind("127.0.0.1:0").expect("a free port");
     other.set_read_timeout(Some(PATIENCE)).expect("a time-out");
     let own = UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr()).expect("a free port");
-    let mut told = configuration(&discovery, &[backend.address]);
-    told["peer_listen"] = json!(own.to_string());
-    told["peers"] = json!([own.to_string(), other.local_addr().expect("bound").to_string()]);
-    told["settings"]["Balancers"] = json!(2);
-    told["settings"]["Limits"]["Peers"] = json!(true);
-    let proxy = Proxy::start(&told);
+    let mut configured = configuration(&discovery, &[backend.address]);
+    configured["peer_listen"] = json!(own.to_string());
+    configured["peers"] = json!([own.to_string(), other.local_addr().expect("bound").to_string()]);
+    configured["settings"]["Balancers"] = json!(2);
+    configured["settings"]["Limits"]["Peers"] = json!(true);
+    let proxy = Proxy::start(&configured);
     let mut client = proxy.client();
     client.ask("read", "q", 3_000);
     let mut asked = backend.next();
@@ -621,12 +623,12 @@
     assert!(begun > 0 && begun <= 256);
     asked.answer(200, "", "ok");
     assert!(other.recv(&mut note).expect("a note of the end") > 0);
-    // Four executions that the peer tells of crowd the backend: it is full for ours until one ends.
+    // Four executions reported by the peer fill the backend until one of them ends.
     let id = std::str::from_utf8(&note[..begun - 4]).expect("text").to_owned();
     other.send_to(format!("{id}!%!A").as_bytes(), own).expect("sent");
     other.send_to(b"\xff\xfe", own).expect("sent");
     client.heard();
-    // By the answer to what came after the notes, they have been read.
+    // The response to this request shows that the messages sent before have been read.
     client.say(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
     client.heard();
     client.ask("pay", "waits", 400);
@@ -637,20 +639,20 @@
 #[test]
 fn where_answers_tell_no_load_a_backend_is_probed_first_and_a_full_one_let_be() {
     let (discovery, full, free) = (Discovery::start(), Backend::start(), Backend::start());
-    let mut told = configuration(&discovery, &[full.address, free.address]);
-    told["probe_path"] = json!("/alive");
-    told["settings"]["Zone"] = json!(0);
-    told["settings"]["Report"] = json!({"Via": "pull", "Columns": ["rif", "fail_rate"]});
-    told["settings"]["Limits"]["Probes"] = json!(true);
-    // Who is one of few asks nobody: there are more proxies than backends.
-    told["settings"]["Balancers"] = json!(3);
-    let proxy = Proxy::start(&told);
+    let mut configured = configuration(&discovery, &[full.address, free.address]);
+    configured["probe_path"] = json!("/alive");
+    configured["settings"]["Zone"] = json!(0);
+    configured["settings"]["Report"] = json!({"Via": "pull", "Columns": ["rif", "fail_rate"]});
+    configured["settings"]["Limits"]["Probes"] = json!(true);
+    // A proxy that is one of few sends no probes: configure more proxies than backends.
+    configured["settings"]["Balancers"] = json!(3);
+    let proxy = Proxy::start(&configured);
     for turn in 0..4 {
         let mut client = proxy.client();
         client.ask("pay", &format!("q{turn}"), 3_000);
         loop {
-            let mut asked = first_of(&[&full, &free]);
-            let at = asked.place();
+            let mut asked = next_of(&[&full, &free]);
+            let at = asked.backend_address();
             if let Some(id) = asked.message.header("x-request-id") {
                 assert_eq!((id, at), (format!("q{turn}").as_str(), free.address));
                 asked.answer(200, "", "ok");
@@ -677,9 +679,9 @@
         ("/settings/Workloads/0/Repeat", json!("often"), "often"),
         ("/settings/Limits/MaxExecutions", json!("many"), "MaxExecutions"),
     ] {
-        let mut told = sound.clone();
-        *told.pointer_mut(place).expect("there") = value;
-        cases.push((told, named));
+        let mut configured = sound.clone();
+        *configured.pointer_mut(place).expect("there") = value;
+        cases.push((configured, named));
     }
     for (part, key, value) in [
         ("", "Zone", json!(1)),
@@ -691,16 +693,17 @@
         ("Safety", "ColdShare", json!(1.5)),
         ("ScoringMix", "FullAtNines", json!(-2)),
     ] {
-        let mut told = sound.clone();
-        let holder = if part.is_empty() { &mut told["settings"] } else { &mut told["settings"][part] };
+        let mut configured = sound.clone();
+        let holder =
+            if part.is_empty() { &mut configured["settings"] } else { &mut configured["settings"][part] };
         holder[key] = value;
-        cases.push((told, key));
+        cases.push((configured, key));
     }
-    let mut told = sound.clone();
-    told["probe_path"] = json!("alive");
-    cases.push((told, "probe_path"));
-    for (told, named) in cases {
-        let (mut child, mut log, _) = launch(&told, program(""));
+    let mut configured = sound.clone();
+    configured["probe_path"] = json!("alive");
+    cases.push((configured, "probe_path"));
+    for (configured, named) in cases {
+        let (mut child, mut log, _) = launch(&configured, program(""));
         let mut said = String::new();
         std::io::Read::read_to_string(&mut log, &mut said).expect("text");
         let success = child.wait().expect("it ends").success();
@@ -714,7 +717,7 @@
     let sound = Backend::answering(|asked| asked.answer(200, "", "ok"));
     for closed in [false, true] {
         let proxy = Proxy::unread(&configuration(&discovery, &[sound]), closed);
-        // Well past what a pipe holds.
+        // Far more than a pipe buffer holds.
         for number in 0..1_500 {
             let mut client = proxy.client();
             if number % 100 == 0 {
--- a/crates/proxy/tests/sockets/races.rs
+++ b/crates/proxy/tests/sockets/races.rs
@@ -1,23 +1,23 @@
-//! Two things that may come in either order, the rare order forced: by gates in the stand-ins, never by sleeping.
+//! Tests of race conditions. The rare order is forced by gates in the test doubles, never by sleeping.
 
-use crate::stand_ins::*;
+use crate::test_doubles::*;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Connections may be long in coming up, and what is out may not be called off.
-fn slow_to_connect(discovery: &Discovery, backends: &[SocketAddr]) -> Value {
-    let mut told = configuration(discovery, backends);
-    told["settings"]["Limits"]["ConnectTimeoutUs"] = json!(60_000_000);
-    told["settings"]["Limits"]["Cancel"] = json!(false);
+/// Connections may take long to open, and executions may not be cancelled.
+fn slow_connect_configuration(discovery: &Discovery, backends: &[SocketAddr]) -> Value {
+    let mut configured = configuration(discovery, backends);
+    configured["settings"]["Limits"]["ConnectTimeoutUs"] = json!(60_000_000);
+    configured["settings"]["Limits"]["Cancel"] = json!(false);
     for workload in 0..3 {
-        told["settings"]["Workloads"][workload]["StatementTimeoutUs"] = json!(50_000_000);
+        configured["settings"]["Workloads"][workload]["StatementTimeoutUs"] = json!(50_000_000);
     }
-    told
+    configured
 }
 
-/// What was said on the watch has been taken in once what can't be understood behind it has ended the watch.
-fn told(proxy: &Proxy, mut watch: Watch, news: &[Value]) {
+/// Sends updates and then an invalid line: once that has ended the watch, the updates have been applied.
+fn apply_updates(proxy: &Proxy, mut watch: Watch, news: &[Value]) {
     news.iter().for_each(|news| watch.say(&news.to_string()));
     watch.say("no JSON");
     proxy.logged("code=\"watch_ended\"");
@@ -27,7 +27,7 @@
 fn a_client_that_leaves_ends_what_waits_for_its_connection() {
     for workload in ["read", "pay", "move"] {
         let (discovery, gate) = (Discovery::start(), Gate::shut());
-        let proxy = Proxy::start(&slow_to_connect(&discovery, &[gate.address]));
+        let proxy = Proxy::start(&slow_connect_configuration(&discovery, &[gate.address]));
         let mut client = proxy.client();
         client.ask(workload, "leaves", 40_000);
         gate.wait_for(1);
@@ -40,7 +40,7 @@
 fn news_end_what_waits_for_a_connection_to_who_is_out_of_bounds() {
     for news in ["DRAINING", "DELETED", "moved", "unsound", "by hand"] {
         let (discovery, gate, other) = (Discovery::start(), Gate::shut(), Backend::start());
-        let mut configured = slow_to_connect(&discovery, &[gate.address]);
+        let mut configured = slow_connect_configuration(&discovery, &[gate.address]);
         configured["admin_addr"] = json!("127.0.0.1:0");
         let proxy = Proxy::start(&configured);
         let watch = discovery.next();
@@ -49,12 +49,14 @@
         gate.wait_for(1);
         let one = |entry: Value| list(50, false, vec![entry]);
         match news {
-            "moved" => told(&proxy, watch, &[one(instance("s-0", other.address, "SERVING"))]),
-            "unsound" => told(&proxy, watch, &[one(json!({"instanceId": "s-0", "lifecycle": "ODD"}))]),
+            "moved" => apply_updates(&proxy, watch, &[one(instance("s-0", other.address, "SERVING"))]),
+            "unsound" => {
+                apply_updates(&proxy, watch, &[one(json!({"instanceId": "s-0", "lifecycle": "ODD"}))])
+            }
             "by hand" => assert_eq!(proxy.call("DETACH s-0\n"), "YES\n"),
-            state => told(&proxy, watch, &[one(instance("s-0", gate.address, state))]),
+            state => apply_updates(&proxy, watch, &[one(instance("s-0", gate.address, state))]),
         }
-        // It never ran, so where nobody else is there it is rejected, at once.
+        // It was never executed, so without another backend it is rejected at once.
         assert_eq!(client.heard().status(), 503, "{news}");
         gate.wait_for(0);
         assert!(other.is_quiet());
@@ -64,13 +66,13 @@
 #[test]
 fn what_waits_for_a_connection_goes_to_another_backend_once_its_own_drains() {
     let (discovery, gate, other) = (Discovery::start(), Gate::shut(), Backend::start());
-    let proxy = Proxy::start(&slow_to_connect(&discovery, &[gate.address]));
+    let proxy = Proxy::start(&slow_connect_configuration(&discovery, &[gate.address]));
     let mut watch = discovery.next();
     let mut client = proxy.client();
     client.ask("pay", "waits", 40_000);
     gate.wait_for(1);
     watch.say(&list(50, false, vec![instance("s-1", other.address, "SERVING")]).to_string());
-    told(&proxy, watch, &[list(51, false, vec![instance("s-0", gate.address, "DRAINING")])]);
+    apply_updates(&proxy, watch, &[list(51, false, vec![instance("s-0", gate.address, "DRAINING")])]);
     other.next().answer(200, "", "ok");
     assert_eq!(client.heard().body, b"ok");
     gate.wait_for(0);
@@ -81,16 +83,16 @@
     assert!(late.is_quiet());
 }
 
-/// Those who drop a repeat do so for a second from the first execution on; the connection comes up later.
+/// The backends recognise duplicates for one second after the first execution; the connection opens later.
 #[test]
 fn a_repeat_that_would_come_after_its_window_is_not_begun() {
     let (discovery, first, gate) = (Discovery::start(), Backend::start(), Gate::shut());
-    let mut configured = slow_to_connect(&discovery, &[first.address, gate.address]);
+    let mut configured = slow_connect_configuration(&discovery, &[first.address, gate.address]);
     configured["settings"]["Limits"]["ConnectTimeoutUs"] = json!(1_500_000);
     configured["settings"]["Workloads"][2]["WindowUs"] = json!(1_000_000);
     let proxy = Proxy::start(&configured);
     let mut client = proxy.client();
-    // Rotation may take either first: one that finds no connection never ran and binds nobody.
+    // Either backend may come first: an execution without a connection was never sent and starts no window.
     for turn in 0..2 {
         let sent = Instant::now();
         client.ask("move", &format!("q{turn}"), 40_000);
@@ -108,12 +110,12 @@
     assert!(first.is_quiet());
 }
 
-/// What lies unread behind a request hides the end of its client's sending.
+/// Unread bytes behind a request hide the end of the client's stream.
 #[test]
 fn a_client_that_leaves_behind_pipelined_bytes_is_noticed_all_the_same() {
     for (behind, resets) in [(40, false), (40, true), (30_000, false), (200_000, false)] {
         let (discovery, gate) = (Discovery::start(), Gate::shut());
-        let proxy = Proxy::start(&slow_to_connect(&discovery, &[gate.address]));
+        let proxy = Proxy::start(&slow_connect_configuration(&discovery, &[gate.address]));
         let mut client = proxy.client();
         client.ask("pay", "leaves", 40_000);
         client.say(&b"GET /read/x HTTP/1.1\r\nX-Request-Id: behind\r\n\r\n".repeat(behind / 40));
@@ -125,7 +127,7 @@
     }
 }
 
-/// A query of the client's waits for room, its own connection being long gone, when room comes.
+/// A query waits for capacity and its client disconnects before capacity becomes available.
 #[test]
 fn nothing_is_begun_for_a_client_that_went_while_its_query_waited() {
     let (discovery, backend) = (Discovery::start(), Backend::start());
@@ -135,10 +137,10 @@
         configured["settings"]["Workloads"][workload]["StatementTimeoutUs"] = json!(50_000_000);
     }
     let proxy = Proxy::start(&configured);
-    // Three at one backend are its crowd where nobody tells of others.
+    // Three executions fill a backend when no peer reports others.
     let mut busy: Vec<Client> = (0..3).map(|_| proxy.client()).collect();
     busy.iter_mut().enumerate().for_each(|(n, client)| client.ask("read", &format!("busy{n}"), 40_000));
-    let mut taken: Vec<Asked> = (0..3).map(|_| backend.next()).collect();
+    let mut taken: Vec<ReceivedRequest> = (0..3).map(|_| backend.next()).collect();
     let mut leaving = proxy.client();
     leaving.ask("read", "leaves", 40_000);
     leaving.ask("read", "behind", 40_000);
@@ -153,7 +155,7 @@
     assert!(busy[0].heard().status() == 200 && backend.is_quiet());
 }
 
-/// The request and the end of its client's sending are read in one go, as after a stall.
+/// The request and the end of the client's stream are read together, as after the process was suspended.
 #[test]
 fn nothing_is_begun_for_a_client_that_went_while_the_proxy_stood_still() {
     let (discovery, backend) = (Discovery::start(), Backend::start());
@@ -180,7 +182,7 @@
     assert_eq!(client.heard().status(), 200);
 }
 
-/// What discovery has counts as told 6 s later, however its calls fail meanwhile.
+/// Updates of discovery must be applied within 6 s, even if calls to it fail meanwhile.
 #[test]
 fn two_silences_in_a_row_leave_time_to_be_told() {
     let discovery = Discovery::start();
@@ -224,7 +226,7 @@
         assert_eq!(client.heard().status(), 200);
     }
     assert!(old.is_quiet());
-    // It may have begun to count anew: its whole list holds.
+    // Discovery may have restarted its generations: its full list is applied.
     let watch = whole.tell(&list(3, true, vec![instance("s-0", old.address, "SERVING")]).to_string());
     assert_eq!(watch.asked, "GET /api/targets?watch=1&after=3 HTTP/1.1");
     client.ask("read", "back", 2_000);
@@ -232,7 +234,7 @@
     assert_eq!(client.heard().status(), 200);
 }
 
-/// What the agent beside it has counts as told from a process's first moment.
+/// Updates known to the local agent must be applied from the start of the process.
 #[test]
 fn where_lists_are_pushed_nothing_is_served_before_the_agents_first_word() {
     let (discovery, drains, serves) = (Discovery::start(), Backend::start(), Backend::start());
@@ -253,7 +255,7 @@
             assert_eq!(client.heard().status(), 200);
         }
         assert!(drains.is_quiet());
-        // A watch that ends is no excuse either.
+        // Neither may a watch that ends delay an update.
         let ended = Instant::now();
         watch.say("no JSON");
         let _next = discovery.next();
@@ -275,7 +277,7 @@
     assert_eq!(client.heard().status(), 200);
 }
 
-/// The moment from which a process that was told to end can no longer be sure of time for an answer.
+/// When an ending process no longer accepts requests, since SIGKILL may arrive before the response.
 const LATE: Duration = Duration::from_millis(650);
 
 #[test]
@@ -283,7 +285,7 @@
     let (discovery, backend) = (Discovery::start(), Backend::start());
     let mut proxy = Proxy::start(&configuration(&discovery, &[backend.address]));
     let mut clients: Vec<Client> = (0..4).map(|_| proxy.client()).collect();
-    // In hand, so that its connection stays open; behind it another, half a head, and half a body.
+    // A query in flight keeps its connection open. Behind it are another request, half a head and half a body.
     clients[0].ask("pay", "taken", 3_000);
     let mut taken = backend.next();
     clients[0].ask("pay", "behind", 3_000);
@@ -293,7 +295,7 @@
     proxy.terminate();
     proxy.logged("code=\"stopping\"");
     let signalled = Instant::now();
-    // That nothing more is waited for tells that it is late: a half body is answered then.
+    // The half body is answered with 408 once the process accepts no more requests.
     assert_eq!(clients[2].heard().status(), 408);
     assert!(signalled.elapsed() >= LATE - Duration::from_millis(50));
     taken.answer(200, "", "ok");
@@ -305,7 +307,7 @@
     assert!(backend.is_quiet() && proxy.ended().success());
 }
 
-/// The process stood still over the signal and the time in which it still takes what comes.
+/// The process is suspended from SIGTERM until it accepts no more requests.
 #[test]
 fn what_waits_in_the_listeners_queue_as_it_closes_is_answered() {
     let (discovery, backend) = (Discovery::start(), Backend::start());
@@ -317,7 +319,7 @@
     proxy.stopped(|| {
         clients.extend((0..5).map(|_| proxy.client()));
         clients.iter_mut().enumerate().for_each(|(n, client)| client.ask("pay", &format!("q{n}"), 3_000));
-        // The clock is what has to pass here.
+        // The time itself must pass here.
         std::thread::sleep((LATE + Duration::from_millis(100)).saturating_sub(signalled.elapsed()));
     });
     for client in &mut clients {
@@ -337,17 +339,17 @@
     client.ask("pay", "last", 3_000);
     let mut asked = backend.next();
     client.say(&[b'x'; 600_000]);
-    // Drained, it ends the connection with the answer, over what it has not read.
+    // When drained, it closes the connection after the response, with bytes still unread.
     assert_eq!(proxy.call("LAMEDUCK\n"), "YES\n");
     asked.answer(200, "", "ok");
     proxy.logged("code=\"drained\"");
-    // By the answer to this the other end has been closed, if it is.
+    // Its response shows that the other connection has been closed, if at all.
     assert!(proxy.call("PING\n").starts_with("NO"));
     assert!(!client.is_reset());
     assert_eq!((client.heard().body.as_slice(), client.hear().is_none()), (b"ok".as_slice(), true));
 }
 
-/// With no length told the end of the connection is the answer's end, but only an end in order.
+/// Without a declared length the end of the connection ends the response, but only an orderly close.
 #[test]
 fn an_answer_of_no_told_length_that_is_reset_is_not_whole() {
     let (discovery, backend) = (Discovery::start(), Backend::start());
@@ -360,7 +362,8 @@
         asked.end(resets);
         assert_eq!(client.heard().status(), if resets { 502 } else { 200 }, "turn {turn}");
     }
-    // Past what is kept whole it flows; a client of the older version has nothing but the connection's end either.
+    // A response larger than the buffer is streamed; an HTTP/1.0 client too can detect its end only by the
+    // close.
     for (version, resets) in [("1.1", false), ("1.1", true), ("1.0", false), ("1.0", true)] {
         let mut client = proxy.client();
         let head = format!("GET /read/x HTTP/{version}\r\nHost: x\r\nX-Request-Id: {version}{resets}\r\n");
@@ -378,8 +381,7 @@
     }
 }
 
-/// As many descriptors as the kernel gives are held by clients that say nothing, or said something once, while nobody
-/// answers where discovery was.
+/// Idle clients hold as many descriptors as the kernel allows, while the discovery address is unreachable.
 #[test]
 fn idle_clients_leave_room_for_discovery_backends_and_callers() {
     let (place, backend, other) = (free_address(), Backend::start(), Backend::start());
@@ -397,12 +399,12 @@
     assert_eq!(fresh.heard().status(), 200);
     assert_eq!(proxy.call("PING\n"), "YES\n");
     let back = Instant::now();
-    let discovery = Discovery::back_at(place);
+    let discovery = Discovery::start_at(place);
     let mut watch = discovery.next();
     let drains =
         vec![instance("s-0", backend.address, "DRAINING"), instance("s-1", other.address, "SERVING")];
     watch.say(&list(50, false, drains).to_string());
-    told(&proxy, watch, &[]);
+    apply_updates(&proxy, watch, &[]);
     assert!(back.elapsed() < Duration::from_secs(2), "{:?}", back.elapsed());
     let mut fresh = proxy.client();
     fresh.ask("read", "after", 3_000);
@@ -410,7 +412,7 @@
     assert!(fresh.heard().status() == 200 && backend.is_quiet());
 }
 
-/// All that may come on a watch's way: each ends in another call soon, and nothing that was said in part holds.
+/// Any invalid input on a watch must lead to another call soon, and no part of it may be applied.
 #[test]
 fn unsound_lists_change_nothing_and_are_asked_for_again() {
     let (discovery, backend) = (Discovery::start(), Backend::start());
@@ -436,20 +438,20 @@
         backend.next().answer(200, "", "ok");
         assert_eq!(client.heard().status(), 200, "{unsound}");
     }
-    // Entries that nobody understands: who is named drains, the others' news hold, and nothing ends.
+    // Invalid entries: backends they name are drained, the other entries are applied, and the watch continues.
     let odd =
         [json!(7), json!({}), json!({"instanceId": 7}), json!({"instanceId": "s-0", "weight": "heavy"})];
     let other = Backend::start();
     let mut news = odd.to_vec();
     news.push(instance("s-1", other.address, "SERVING"));
     let watch = discovery.next();
-    told(&proxy, watch, &[list(60, false, news)]);
+    apply_updates(&proxy, watch, &[list(60, false, news)]);
     client.ask("read", "after", 3_000);
     other.next().answer(200, "", "ok");
     assert!(client.heard().status() == 200 && backend.is_quiet());
 }
 
-/// All memory for bodies is taken by others, whose backend neither answers nor reads on.
+/// All body memory is held by requests whose backend neither responds nor reads.
 #[test]
 fn a_body_that_finds_no_memory_is_rejected_while_its_client_still_waits() {
     let (discovery, backend) = (Discovery::start(), Backend::start());
@@ -464,11 +466,11 @@
     };
     let mut holding: Vec<Client> = (0..8).map(|_| proxy.client()).collect();
     for (number, client) in holding.iter_mut().enumerate() {
-        // Half of its last part is still to come, so that its place is taken and nothing is decided yet.
+        // The rest of the body is still to come, so that its permits are held and nothing has been decided.
         client.say(&head(&format!("holds{number}"), 40_000, 3_000));
         client.say(&[b'x'; 30_000]);
     }
-    // Their places are taken once this is answered: the proxy reads what came before it first.
+    // Once this is answered those permits are held, as the proxy has read what came before.
     let mut asks = proxy.client();
     asks.say(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(asks.heard().status(), 200);
@@ -480,12 +482,12 @@
     assert_eq!((heard.status(), heard.header("connection")), (503, Some("close")));
     assert!(heard.header("retry-after").is_some() && sent.elapsed() < Duration::from_millis(900));
     assert!(backend.is_quiet());
-    // One for which there is memory in time has that much less of its own.
+    // A body that waited for memory has that much less time left.
     let mut waits = proxy.client();
     let sent = Instant::now();
     waits.say(&head("waits", 20_000, 2_000));
     waits.say(&[b'x'; 20_000]);
-    // The clock is what has to pass here.
+    // The time itself must pass here.
     std::thread::sleep(Duration::from_millis(300));
     holding[0].say(&[b'x'; 10_000]);
     backend.next().answer(200, "", "ok");
@@ -516,7 +518,7 @@
         backend.next().answer(200, "", "ok");
         assert_eq!(client.heard().status(), 200);
     });
-    // Discovery that is away does not keep it from starting for good.
+    // If discovery is unreachable, the proxy still starts in the end.
     configured["discovery"] = json!(refusing_address().to_string());
     let started = Instant::now();
     let proxy = Proxy::start(&configured);
--- a/crates/proxy/tests/sockets/random.rs
+++ b/crates/proxy/tests/sockets/random.rs
@@ -1,14 +1,14 @@
-//! Seeded random runs of the program: backends that answer, fail, turn away, break off or stay silent,
-//! and after every answer the record of what reached them is held against the rules.
+//! Seeded random runs of the proxy binary. Backends respond, fail, reject, disconnect or stay silent; after
+//! each response the requests that reached them are checked against the retry rules.
 
-use super::stand_ins::*;
+use super::test_doubles::*;
 use quickcheck::{Gen, QuickCheck};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What reached backends under an id: whether it surely never ran there.
+/// For each query id, whether each execution that reached a backend certainly did not run.
 type Record = Arc<Mutex<BTreeMap<String, Vec<bool>>>>;
 
 fn backend(seed: u64, record: Record) -> std::net::SocketAddr {
@@ -30,7 +30,7 @@
     })
 }
 
-/// One client's queries, one after the other; what it heard against what the backends saw.
+/// Sends one client's queries in sequence and checks each response against what the backends received.
 fn play(mut connection: Client, record: &Record, client: usize, seed: u64) -> Result<(), String> {
     let mut rng = fastrand::Rng::with_seed(seed.wrapping_add(client as u64));
     for number in 0..25 {
@@ -40,7 +40,7 @@
         connection.ask(kind, &id, wait_ms);
         let heard = connection.hear().ok_or(format!("{id} has no answer"))?;
         let late = sent.elapsed().saturating_sub(Duration::from_millis(wait_ms));
-        // The bench holds it to the millisecond; here a busy machine must not fail what is sound.
+        // Timing is measured by the benchmark; here a busy machine must not fail a correct run.
         if late > Duration::from_millis(300) {
             return Err(format!("{id} is answered {late:?} late"));
         }
@@ -70,9 +70,9 @@
 fn run(seed: u64) -> Result<(), String> {
     let (discovery, record) = (Discovery::start(), Record::default());
     let addresses: Vec<_> = (0..3).map(|n| backend(seed.wrapping_add(n), Arc::clone(&record))).collect();
-    let mut told = configuration(&discovery, &[&addresses[..], &[refusing_address()]].concat());
-    told["seed"] = json!(format!("{seed:x}"));
-    let proxy = Proxy::start(&told);
+    let mut configured = configuration(&discovery, &[&addresses[..], &[refusing_address()]].concat());
+    configured["seed"] = json!(format!("{seed:x}"));
+    let proxy = Proxy::start(&configured);
     std::thread::scope(|scope| {
         let (proxy, record) = (&proxy, &record);
         let play = |client: usize| {
--- a/crates/proxy/tests/sockets/stand_ins.rs
+++ b/crates/proxy/tests/sockets/test_doubles.rs
@@ -1,5 +1,5 @@
-//! The program under test and what stands in for its neighbours: backends, discovery, clients. What
-//! the tests wait for comes on channels, never after a set time.
+//! The process under test and test doubles for backends, discovery and clients. Tests wait for events on
+//! channels, never for a fixed time.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -12,10 +12,10 @@
 pub use crankpick_test_support::refusing_address;
 use serde_json::{json, Value};
 
-/// Far longer than anything here takes: reached only where a test fails.
+/// Far longer than any step takes; reached only by a failing test.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
-/// A message as it came: head lines, then the body.
+/// An HTTP message as received: the head's lines, then the body.
 #[derive(Debug)]
 pub struct Message {
     pub head: String,
@@ -52,18 +52,18 @@
     }
 }
 
-/// A request that has reached a backend and waits there for what the test makes of it.
-pub struct Asked {
+/// A request that reached a backend and waits for the test's response.
+pub struct ReceivedRequest {
     pub message: Message,
-    /// The number of its connection, from 0.
+    /// Number of its connection, counted from 0.
     pub connection: usize,
     stream: TcpStream,
 }
 
-impl Asked {
+impl ReceivedRequest {
     pub fn answer(&mut self, status: u16, headers: &str, body: &str) {
         let head = format!("HTTP/1.1 {status} Said\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
-        // The proxy may have given it up.
+        // The proxy may have closed the connection.
         let _ = self.stream.write_all((head + body).as_bytes());
     }
 
@@ -71,23 +71,23 @@
         let _ = self.stream.write_all(bytes);
     }
 
-    /// An answer that is cut short.
+    /// Sends a truncated response.
     pub fn answer_half(&mut self) {
         self.say(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
         self.break_off();
     }
 
-    /// Ends its connection in order, or by a reset, behind all that was said.
+    /// Closes its connection after everything sent, in order or by a reset.
     pub fn end(self, resets: bool) {
         if resets {
             socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).expect("settable");
         }
-        // Whoever reads from it here lets go of it then, and the last one's close is the reset.
+        // This ends the reader thread; the last handle's close then sends the reset.
         let _ = self.stream.shutdown(if resets { Shutdown::Read } else { Shutdown::Write });
     }
 
-    /// The address of the backend that it reached.
-    pub fn place(&self) -> SocketAddr {
+    /// Address of the backend that it reached.
+    pub fn backend_address(&self) -> SocketAddr {
         self.stream.local_addr().expect("connected")
     }
 
@@ -98,16 +98,16 @@
 
 pub struct Backend {
     pub address: SocketAddr,
-    pub asked: Receiver<Asked>,
-    /// The numbers of connections that the proxy has ended.
+    pub asked: Receiver<ReceivedRequest>,
+    /// Numbers of the connections that the proxy has closed.
     pub closed: Receiver<usize>,
 }
 
-fn hold(number: usize, stream: TcpStream, asked: Sender<Asked>, closed: Sender<usize>) {
+fn read_requests(number: usize, stream: TcpStream, asked: Sender<ReceivedRequest>, closed: Sender<usize>) {
     let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
     while let Some(message) = Message::read(&mut reader) {
         let stream = stream.try_clone().expect("a second handle");
-        if asked.send(Asked { message, connection: number, stream }).is_err() {
+        if asked.send(ReceivedRequest { message, connection: number, stream }).is_err() {
             return;
         }
     }
@@ -125,32 +125,32 @@
         std::thread::spawn(move || {
             for (number, stream) in listener.incoming().flatten().enumerate() {
                 let (asks, closes) = (asks.clone(), closes.clone());
-                std::thread::spawn(move || hold(number, stream, asks, closes));
+                std::thread::spawn(move || read_requests(number, stream, asks, closes));
             }
         });
         Backend { address, asked, closed }
     }
 
-    /// One that answers every request by itself, as `with` says.
-    pub fn answering(with: impl Fn(&mut Asked) + Send + 'static) -> SocketAddr {
+    /// A backend that handles every request with `with`.
+    pub fn answering(with: impl Fn(&mut ReceivedRequest) + Send + 'static) -> SocketAddr {
         let backend = Backend::start();
         let address = backend.address;
         std::thread::spawn(move || backend.asked.iter().for_each(|mut asked| with(&mut asked)));
         address
     }
 
-    pub fn next(&self) -> Asked {
+    pub fn next(&self) -> ReceivedRequest {
         self.asked.recv_timeout(PATIENCE).expect("a request reaches the backend")
     }
 
-    /// Nothing more has come, and what the proxy sent before it answered the client would have.
+    /// Whether no further request has arrived. Anything the proxy sent before its response to the client has.
     pub fn is_quiet(&self) -> bool {
         self.asked.try_recv().is_err()
     }
 }
 
-/// The next request that reaches any of them.
-pub fn first_of(backends: &[&Backend]) -> Asked {
+/// The next request that reaches any of the backends.
+pub fn next_of(backends: &[&Backend]) -> ReceivedRequest {
     let until = Instant::now() + PATIENCE;
     loop {
         if let Some(asked) = backends.iter().find_map(|backend| backend.asked.try_recv().ok()) {
@@ -161,12 +161,12 @@
     }
 }
 
-/// An address that is free by now, for whoever is to listen there soon.
+/// An address that is free now, for a listener to be started later.
 pub fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a free port")
 }
 
-/// Discovery: each watch comes to the test, which says what is told on it.
+/// Discovery service whose watches are answered by the test.
 pub struct Discovery {
     pub address: SocketAddr,
     watches: Receiver<Watch>,
@@ -179,7 +179,7 @@
 }
 
 impl Watch {
-    /// The one line of a call that is no watch, after which the connection takes a further call.
+    /// Sends the single line of a call that is not a watch; then the connection accepts another call.
     pub fn tell(mut self, line: &str) -> Watch {
         self.say(line);
         let _ = self.stream.write_all(b"0\r\n\r\n");
@@ -197,7 +197,7 @@
         let _ = write!(self.stream, "{:x}\r\n{line}\n\r\n", line.len() + 1);
     }
 
-    /// Says part of a line every while, until nobody listens any more.
+    /// Sends part of a line at intervals until the proxy closes the connection.
     pub fn trickle(mut self, part: &str, every: Duration) {
         let until = Instant::now() + PATIENCE * 2;
         while Instant::now() < until && write!(self.stream, "{:x}\r\n{part}\r\n", part.len()).is_ok() {
@@ -208,12 +208,12 @@
 
 impl Discovery {
     pub fn start() -> Self {
-        Discovery::back_at("127.0.0.1:0".parse().expect("an address"))
+        Discovery::start_at("127.0.0.1:0".parse().expect("an address"))
     }
 
-    /// Where nobody listened before.
-    pub fn back_at(place: SocketAddr) -> Self {
-        let listener = TcpListener::bind(place).expect("a free port");
+    /// Starts discovery at a given address.
+    pub fn start_at(address: SocketAddr) -> Self {
+        let listener = TcpListener::bind(address).expect("a free port");
         let address = listener.local_addr().expect("bound");
         let (opens, watches) = channel();
         std::thread::spawn(move || {
@@ -244,7 +244,7 @@
     json!({"generation": generation, "reset": reset, "instances": instances})
 }
 
-/// The program, with a configuration of its own.
+/// A proxy process with its own configuration.
 pub struct Proxy {
     pub address: SocketAddr,
     admin: SocketAddr,
@@ -276,7 +276,7 @@
     })
 }
 
-/// The program as the shell starts it, once that has done what `first` says.
+/// The command that starts the binary from a shell, after the shell commands in `first`.
 pub fn program(first: &str) -> Command {
     let mut command = Command::new("/bin/sh");
     command.args(["-c", &format!("{first} exec {}", env!("CARGO_BIN_EXE_crankpick"))]);
@@ -284,7 +284,7 @@
     command
 }
 
-/// Starts the program and hands over its log.
+/// Starts the process; returns it with its log and the path of its configuration.
 pub fn launch(configuration: &Value, mut program: Command) -> (Child, BufReader<ChildStderr>, PathBuf) {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
@@ -296,37 +296,38 @@
     (child, log, path)
 }
 
-/// Holds the clients' socket and the folder that the processes of an upgrade share.
+/// Stands for the platform: holds the clients' listening socket and the directory shared by the processes of an
+/// upgrade.
 pub struct Platform {
     listener: TcpListener,
-    pub folder: PathBuf,
+    pub directory: PathBuf,
 }
 
 impl Platform {
     pub fn new(name: &str) -> Self {
-        // Longer than a socket's name may be.
-        let folder = format!("crankpick-{}-{name}/{}", std::process::id(), "long-".repeat(30));
-        let folder = std::env::temp_dir().join(folder);
-        std::fs::create_dir_all(&folder).expect("a writable temporary folder");
-        Platform { listener: TcpListener::bind("127.0.0.1:0").expect("a free port"), folder }
+        // Longer than the limit on the length of socket paths.
+        let directory = format!("crankpick-{}-{name}/{}", std::process::id(), "long-".repeat(30));
+        let directory = std::env::temp_dir().join(directory);
+        std::fs::create_dir_all(&directory).expect("a writable temporary folder");
+        Platform { listener: TcpListener::bind("127.0.0.1:0").expect("a free port"), directory }
     }
 
     pub fn start(&self, configuration: &Value) -> Proxy {
         let listener = self.listener.try_clone().expect("a second handle");
         let mut program = program("exec 7<&0;");
         program.stdin(Stdio::from(std::os::fd::OwnedFd::from(listener)));
-        program.env("EDGE_INHERITED_FD", "7").env("TMPDIR", &self.folder);
+        program.env("EDGE_INHERITED_FD", "7").env("TMPDIR", &self.directory);
         Proxy::started(configuration, program)
     }
 }
 
 impl Drop for Platform {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(self.folder.parent().expect("two folders"));
+        let _ = std::fs::remove_dir_all(self.directory.parent().expect("two folders"));
     }
 }
 
-fn told(line: &str, name: &str) -> SocketAddr {
+fn logged_address(line: &str, name: &str) -> SocketAddr {
     let address = line.split(&format!("{name}=")).nth(1).and_then(|rest| rest.split(' ').next());
     address.expect("the address is logged").trim_matches('"').parse().expect("an address")
 }
@@ -345,14 +346,14 @@
         let mut proxy =
             Proxy { address: refusing_address(), admin: refusing_address(), child, log, configured };
         let line = proxy.logged("code=\"listening\"");
-        proxy.address = told(&line, "listen");
+        proxy.address = logged_address(&line, "listen");
         if configuration.get("admin_addr").is_some() {
-            proxy.admin = told(&line, "admin");
+            proxy.admin = logged_address(&line, "admin");
         }
         proxy
     }
 
-    /// One whose log is read up to the address and no further: the pipe fills up, or is closed.
+    /// Starts a proxy whose log is read only up to its address: the pipe then fills up, or is closed.
     pub fn unread(configuration: &Value, closed: bool) -> Self {
         let (child, mut reader, configured) = launch(configuration, program(""));
         let ((_, log), mut line) = (channel(), String::new());
@@ -360,10 +361,10 @@
         if !closed {
             std::mem::forget(reader);
         }
-        Proxy { address: told(&line, "listen"), admin: refusing_address(), child, log, configured }
+        Proxy { address: logged_address(&line, "listen"), admin: refusing_address(), child, log, configured }
     }
 
-    /// The next line of the log that holds `text`.
+    /// Waits for the next log line that contains `text`.
     pub fn logged(&self, text: &str) -> String {
         let until = Instant::now() + PATIENCE;
         loop {
@@ -379,7 +380,7 @@
         Client::new(TcpStream::connect(self.admin).expect("the proxy accepts"))
     }
 
-    /// The answer to one call at the second address; empty where the connection ended without.
+    /// Makes a call at the second address; returns an empty string if the connection ends without a response.
     pub fn call(&self, call: &str) -> String {
         let mut caller = self.caller();
         caller.say(call.as_bytes());
@@ -400,7 +401,7 @@
         self.signal("-TERM");
     }
 
-    /// Puts another file in the place of its configuration and tells it so.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reconfigure(&self, configuration: &str) {
         let next = self.configured.with_extension("next");
         std::fs::write(&next, configuration).expect("a writable temporary folder");
@@ -408,7 +409,7 @@
         self.signal("-HUP");
     }
 
-    /// Stands still while `meanwhile` runs, as on a machine that gives it no time.
+    /// Suspends the process while `meanwhile` runs.
     pub fn stopped(&self, meanwhile: impl FnOnce()) {
         self.signal("-STOP");
         meanwhile();
@@ -416,8 +417,8 @@
     }
 
     fn signal(&self, signal: &str) {
-        let told = Command::new("kill").args([signal, &self.child.id().to_string()]).status();
-        assert!(told.expect("kill runs").success());
+        let status = Command::new("kill").args([signal, &self.child.id().to_string()]).status();
+        assert!(status.expect("kill runs").success());
     }
 
     pub fn ended(&mut self) -> ExitStatus {
@@ -453,7 +454,8 @@
         let _ = self.stream.get_mut().write_all(bytes);
     }
 
-    /// All up to the end of its connection, and whether that is one in order, not a reset.
+    /// Reads to the end of the connection; returns the bytes and whether it was closed in order rather than
+    /// reset.
     pub fn rest_in_order(&mut self) -> (Vec<u8>, bool) {
         let mut rest = Vec::new();
         let in_order = self.stream.read_to_end(&mut rest).is_ok();
@@ -464,7 +466,7 @@
         socket2::SockRef::from(self.stream.get_ref()).take_error().expect("a socket").is_some()
     }
 
-    /// Closes its connection, or resets it.
+    /// Closes or resets the connection.
     pub fn leave(self, resets: bool) {
         if resets {
             let now = Some(Duration::ZERO);
@@ -472,14 +474,14 @@
         }
     }
 
-    /// Takes no answer, and ends once the proxy does not read either.
+    /// Sends without reading responses, until the proxy stops reading as well.
     pub fn say_and_never_read(&mut self, bytes: &[u8]) {
         let stream = self.stream.get_mut();
         stream.set_write_timeout(Some(Duration::from_millis(500))).expect("a time-out");
         assert!(stream.write_all(bytes).is_err(), "the buffers between hold it all");
     }
 
-    /// Sends a query with an id of its own.
+    /// Sends a query with the given id.
     pub fn ask(&mut self, workload: &str, id: &str, wait_ms: u64) {
         let method = if workload == "read" { "GET" } else { "POST" };
         let length = match workload {
@@ -498,7 +500,7 @@
         line
     }
 
-    /// The status of a head that is read to its end, and nothing behind it.
+    /// Reads a response head and returns its status, leaving the body unread.
     pub fn status_line(&mut self) -> u16 {
         let mut head = String::new();
         while !head.ends_with("\r\n\r\n") {
@@ -507,7 +509,7 @@
         Message { head, body: Vec::new() }.status()
     }
 
-    /// Reads on for so many bytes of a body, after a pause.
+    /// Reads this many bytes of a body, after a pause.
     pub fn rest(&mut self, mut bytes: usize, pause: Duration) {
         std::thread::sleep(pause);
         while bytes > 0 {
@@ -518,7 +520,7 @@
         }
     }
 
-    /// None where the proxy has ended the connection.
+    /// None if the proxy has closed the connection.
     pub fn hear(&mut self) -> Option<Message> {
         Message::read(&mut self.stream)
     }
@@ -528,7 +530,7 @@
     }
 }
 
-/// An address at which connections wait to come up until the test lets them: its queue is full.
+/// A listener whose connections stay unestablished, because its queue is full, until the test opens it.
 pub struct Gate {
     pub address: SocketAddr,
     listener: TcpListener,
@@ -543,21 +545,21 @@
         socket.bind(&any.into()).and_then(|()| socket.listen(0)).expect("a free port");
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().expect("bound");
-        // One connection is all that the queue holds; the next ones' first packets are dropped.
+        // The queue holds a single connection; the SYN packets of further ones are dropped.
         let queue = vec![TcpStream::connect(address).expect("the first is queued")];
         Gate { address, listener, queue }
     }
 
-    /// How many connections are on their way here.
+    /// Number of connections being opened to this address.
     fn on_their_way(&self) -> usize {
         let port = format!(":{:04X}", self.address.port());
         let table = std::fs::read_to_string("/proc/net/tcp").expect("Linux");
         let lines = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
-        // The state of one that has sent its first packet is 02.
+        // State 02 is SYN_SENT.
         lines.filter(|line| line.len() > 3 && line[2].ends_with(&port) && line[3] == "02").count()
     }
 
-    /// Waits until so many are.
+    /// Waits until this many connections are being opened.
     pub fn wait_for(&self, on_their_way: usize) {
         let until = Instant::now() + PATIENCE;
         while self.on_their_way() != on_their_way {
@@ -566,7 +568,7 @@
         }
     }
 
-    /// Lets those that wait come up, as they try again, and serves them from now on.
+    /// Lets the waiting connections be established, as they retry, and serves them from now on.
     pub fn open(mut self) -> Backend {
         drop(self.listener.accept().expect("the one in the queue"));
         self.queue.clear();
--- a/crates/proxy/tests/unit/discovery.rs
+++ b/crates/proxy/tests/unit/discovery.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// One of a proxy that is alone and knows no backend.
+/// A Discovery of a single proxy that knows no backend.
 fn discovery(wanted: &Arc<Notify>) -> Discovery {
     let settings = serde_json::json!({"Balancers": 1, "Discovery": "subscribe", "Workloads": []});
     let balancer = crankpick_launch::balancer(7, &settings).expect("sound");
@@ -36,7 +36,7 @@
     Discovery::new(balancer, backends, vec![], Arc::default(), false, false, 1)
 }
 
-/// How a call ends which is answered with `answer` and then closed.
+/// How a watch ends if the response is `answer` and the connection is then closed.
 async fn ended_after(answer: &'static [u8]) -> Failure {
     use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
@@ -48,11 +48,12 @@
         while stream.read_line(&mut line).await.expect("its head") > 2 {}
         stream.write_all(answer).await.expect("it reads");
     });
-    let Err(lost) = discovery(&Arc::default()).watch(address).await;
-    lost.failure
+    let Err(error) = discovery(&Arc::default()).watch(address).await;
+    error.failure
 }
 
-/// A 503 and an answer that ends before it told anything cost discovery work and come at once; nobody there is silence.
+/// A 503 and a response that ends before any update show that discovery is overloaded and fail at once; an
+/// unreachable address counts as silence.
 #[tokio::test]
 async fn refusals_and_silence_are_told_apart() {
     let no = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
@@ -62,29 +63,29 @@
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let nobody = listener.local_addr().expect("bound");
     drop(listener);
-    let Err(lost) = discovery(&Arc::default()).watch(nobody).await;
-    assert_eq!(lost.failure, Failure::Silent);
+    let Err(error) = discovery(&Arc::default()).watch(nobody).await;
+    assert_eq!(error.failure, Failure::Silent);
 }
 
-/// A signal that moves discovery and the time to ask again may come at once: then the new place is asked for the
-/// whole list all the same, as its versions may have begun anew.
+/// A change of the discovery address and the next call may be due at the same time. The new address must then
+/// be asked for the full list, as its generations may have restarted.
 #[tokio::test]
 async fn a_move_is_not_missed_where_it_comes_with_the_time_to_ask_again() {
     use tokio::io::{AsyncBufReadExt, BufReader};
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let new = listener.local_addr().expect("bound");
     for turn in 0..30 {
-        let (moves, place) = watch::channel("127.0.0.1:9".parse().expect("an address"));
+        let (moves, address) = watch::channel("127.0.0.1:9".parse().expect("an address"));
         let wanted = Arc::new(Notify::new());
         let discovery = discovery(&wanted);
-        let follows = discovery.follow(place, Arc::clone(&wanted));
+        let follow = discovery.follow(address, Arc::clone(&wanted));
         moves.send_replace(new);
         wanted.notify_one();
-        let follows = tokio::spawn(follows);
+        let follow = tokio::spawn(follow);
         let (stream, _) = listener.accept().await.expect("it asks there");
         let mut line = String::new();
         BufReader::new(stream).read_line(&mut line).await.expect("a call");
         assert_eq!(line, "GET /api/targets HTTP/1.1\r\n", "turn {turn}");
-        follows.abort();
+        follow.abort();
     }
 }
--- a/crates/proxy/tests/unit/in_flight.rs
+++ b/crates/proxy/tests/unit/in_flight.rs
@@ -15,7 +15,7 @@
     let whole = answer.into_body().collect().await.expect("whole").to_bytes();
     assert_eq!(whole, "long");
     assert!(in_flight.empty() && in_flight.busy(of()).is_empty());
-    // A client that goes leaves nothing in hand either.
+    // A client that disconnects leaves nothing in flight either.
     drop(hold_until_sent(Response::new(Body::from("long")), Some(in_flight.execution(2))));
     assert!(in_flight.empty());
 }
--- a/crates/proxy/tests/unit/query.rs
+++ b/crates/proxy/tests/unit/query.rs
@@ -3,7 +3,8 @@
 use crankpick::interface::{Listed, Phase};
 use serde_json::json;
 
-/// Without its outcome each would burden the only backend for good, until nothing goes there.
+/// Without an outcome each such execution would count as running on the only backend forever, until nothing is
+/// sent there.
 #[tokio::test]
 async fn an_execution_decided_as_the_client_goes_is_not_left_out_there() {
     let settings = json!({
@@ -21,7 +22,7 @@
         let mut decided = balancer.query(&id, 0, 0, 5_000_000, None, false).ok().expect("taken");
         let first = decided.try_recv();
         assert!(matches!(first, Ok(Decision::Execute { .. })), "turn {turn}: {first:?}");
-        // As if it were still on its way to the query's task.
+        // As if the decision were still on its way to the query's task.
         let (late, decided) = mpsc::channel(9);
         late.try_send(first.expect("there")).expect("room");
         drop(ActiveQuery::new(Arc::clone(&balancer), id, decided));
