--- a/crates/proxy/src/bodies.rs
+++ b/crates/proxy/src/bodies.rs
@@ -20,8 +20,8 @@
 pub const MAX_BODY: u64 = 40 << 20;
 /// Bodies up to this size take no permit of the pool.
 const UNPOOLED: usize = 16 << 10;
-/// Pool permits, each worth `UNPOOLED` bytes, for a buffered body and for a streamed one: its first part and the
-/// buffers on both sides.
+/// Pool permits, each worth `UNPOOLED` bytes, for a buffered body and for a streamed one: its first part and
+/// the buffers on both sides.
 const BUFFERED_PERMITS: u32 = 4;
 const STREAMED_PERMITS: u32 = 12;
 /// Each direction's pool gets the memory divided by this.
@@ -62,18 +62,18 @@
 /// Memory for bodies larger than `UNPOOLED`.
 pub struct Pool {
     permits: Arc<Semaphore>,
-    complete: usize,
+    total: usize,
 }
 
 impl Pool {
     pub fn new(memory: usize) -> Self {
-        let complete =
+        let total =
             (memory / POOL_DIVISOR / UNPOOLED).max(2 * (BUFFERED_PERMITS + STREAMED_PERMITS) as usize);
-        Pool { permits: Arc::new(Semaphore::new(complete)), complete }
+        Pool { permits: Arc::new(Semaphore::new(total)), total }
     }
 
     pub async fn share_with(self: Arc<Self>, others: watch::Receiver<usize>) {
-        cede_half(others, Arc::clone(&self.permits), self.complete, || ()).await;
+        cede_half(others, Arc::clone(&self.permits), self.total, || ()).await;
     }
 
     async fn take(&self, permits: u32, within: Duration) -> Result<OwnedSemaphorePermit, BodyError> {
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -344,8 +344,8 @@
 }
 
 /// Accepts connections until the process ends and a little longer, then waits for all of them to end. Above
-/// `early_close_above` open connections idle ones are closed early: a connection-level load balancer may count unused
-/// connections like active ones.
+/// `early_close_above` open connections idle ones are closed early: a connection-level load balancer may count
+/// unused connections like active ones.
 pub async fn run(
     listener: TcpListener,
     router: Router,
