--- a/crates/proxy/src/backends.rs
+++ b/crates/proxy/src/backends.rs
@@ -46,8 +46,8 @@
     answers: Arc<Pool>,
     /// Moving average of the fraction of stale pooled connections, over the last few dozen executions on pooled
     /// connections.
-    stale: Mutex<f64>,
-    fresh: AtomicU64,
+    stale_fraction: Mutex<f64>,
+    connection_numbers: AtomicU64,
     endpoints: Arc<Endpoints>,
 }
 
@@ -82,8 +82,8 @@
             client,
             connector,
             answers,
-            stale: Mutex::default(),
-            fresh: AtomicU64::default(),
+            stale_fraction: Mutex::default(),
+            connection_numbers: AtomicU64::default(),
             endpoints,
         }
     }
@@ -104,20 +104,21 @@
 
     /// Upper bound for the time a request takes to reach its backend: half of the connect timeout.
     pub fn max_send_delay(&self) -> Duration {
-        self.connector.timeout() / 2
+        self.connector.connect_timeout() / 2
     }
 
     /// Updates the stale fraction with one use of a pooled connection.
     fn record_reuse(&self, stale: bool) {
-        let mut fraction = self.stale.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut fraction = self.stale_fraction.lock().unwrap_or_else(PoisonError::into_inner);
         *fraction += (f64::from(u8::from(stale)) - *fraction) / 64.0;
     }
 
     /// Returns the number of a new connection if the request needs one of its own (`must`), or if pooled ones
     /// are often stale.
-    fn fresh(&self, must: bool) -> Option<u64> {
-        let often_stale = *self.stale.lock().unwrap_or_else(PoisonError::into_inner) > STALE_THRESHOLD;
-        (must || often_stale).then(|| self.fresh.fetch_add(1, Ordering::Relaxed))
+    fn new_connection_number(&self, must: bool) -> Option<u64> {
+        let often_stale =
+            *self.stale_fraction.lock().unwrap_or_else(PoisonError::into_inner) > STALE_THRESHOLD;
+        (must || often_stale).then(|| self.connection_numbers.fetch_add(1, Ordering::Relaxed))
     }
 
     /// Runs one execution until its response is complete, or has exceeded the buffer and is streamed. Dropping
@@ -135,7 +136,7 @@
         not_retryable: bool,
         payload: Payload,
         body: impl Fn() -> Body,
-        too_late: impl Future<Output = ()>,
+        acceptance_over: impl Future<Output = ()>,
         unwanted: impl Future<Output = ()>,
     ) -> ExecutionOutcome {
         let sent = Instant::now();
@@ -151,10 +152,10 @@
                     endpoint.filter(|endpoint| self.endpoints.available_address(backend) == Some(*endpoint));
                 let address = open.filter(|_| self.connector.may_send()).ok_or(Ended::NotSent)?;
                 let left = if payload.is_streamed() { wait } else { wait.saturating_sub(sent.elapsed()) };
-                let fresh = (not_retryable || payload.is_streamed())
-                    .then(|| self.fresh(payload.is_streamed()))
+                let new_connection = (not_retryable || payload.is_streamed())
+                    .then(|| self.new_connection_number(payload.is_streamed()))
                     .flatten();
-                let request = backend_request(backend, fresh, address, &head, body(), left);
+                let request = backend_request(backend, new_connection, address, &head, body(), left);
                 let mut request = request.ok_or(Ended::NotSent)?;
                 let connection = capture_connection(&mut request);
                 current.lock().unwrap_or_else(PoisonError::into_inner).replace(connection.clone());
@@ -184,7 +185,7 @@
         // A streamed body has no total timeout: the client's wait counts from the end of the body.
         let deadline = async { sleep_until(payload.sent().await.unwrap_or(sent) + wait).await };
         let unfinished = async {
-            too_late.await;
+            acceptance_over.await;
             if !payload.is_streamed() || payload.sent_at().is_some() {
                 std::future::pending::<()>().await;
             }
@@ -326,7 +327,7 @@
 /// Builds the backend request: method, path, query and body exactly as received.
 fn backend_request(
     backend: u32,
-    fresh: Option<u64>,
+    new_connection: Option<u64>,
     address: SocketAddr,
     head: &Parts,
     body: Body,
@@ -336,7 +337,7 @@
     uri.scheme = Some(Scheme::HTTP);
     // The client pools connections by authority: with the backend's number in it, a connection is never reused
     // for another backend at the same address.
-    let endpoint = match fresh {
+    let endpoint = match new_connection {
         Some(number) => format!("{backend}-{number}@{address}"),
         None => format!("{backend}@{address}"),
     };
@@ -347,7 +348,7 @@
     *request.headers_mut() = end_to_end(&head.headers);
     let deadline = HeaderValue::try_from(format!("{}u", wait.as_micros())).ok()?;
     request.headers_mut().insert("x-deadline", deadline);
-    if fresh.is_some() {
+    if new_connection.is_some() {
         request.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     Some(request)
--- a/crates/proxy/src/balancer.rs
+++ b/crates/proxy/src/balancer.rs
@@ -85,21 +85,21 @@
 /// Routes the balancer's decisions to their receivers.
 struct DecisionSink {
     queries: BTreeMap<String, mpsc::Sender<Decision>>,
-    wakes: Vec<(u64, String)>,
+    timers: Vec<(u64, String)>,
     probes: Vec<u32>,
-    list_wanted: Arc<Notify>,
+    list_requested: Arc<Notify>,
     peers: Arc<Peers>,
     /// Set in a fleet only.
     in_flight: Option<Arc<InFlight>>,
     /// Queries accepted, and queries rejected or aborted, since the last `take_load_sample`.
-    taken: u64,
+    accepted: u64,
     rejected: u64,
 }
 
 impl DecisionSink {
-    fn send(&self, qry: &str, decided: Decision) {
+    fn send(&self, qry: &str, decision: Decision) {
         if let Some(query) = self.queries.get(qry) {
-            if let Err(lost) = query.try_send(decided) {
+            if let Err(lost) = query.try_send(decision) {
                 tracing::error!(code = "decision_lost", qry, "{lost}");
             }
         }
@@ -127,11 +127,11 @@
     }
 
     fn wake(&mut self, in_us: u64, token: &str) {
-        self.wakes.push((in_us, token.to_owned()));
+        self.timers.push((in_us, token.to_owned()));
     }
 
     fn subscribe(&mut self) {
-        self.list_wanted.notify_one();
+        self.list_requested.notify_one();
     }
 
     fn probe(&mut self, backend: u32) {
@@ -147,15 +147,23 @@
     pub fn new(
         balancer: Balancer,
         max_executions: u32,
-        list_wanted: Arc<Notify>,
+        list_requested: Arc<Notify>,
         peers: Arc<Peers>,
         backends: Arc<Backends>,
         probe_path: Uri,
         in_flight: Option<Arc<InFlight>>,
     ) -> Arc<Self> {
-        let (queries, wakes, probes) = (BTreeMap::new(), Vec::new(), Vec::new());
-        let sink =
-            DecisionSink { queries, wakes, probes, list_wanted, peers, in_flight, taken: 0, rejected: 0 };
+        let (queries, timers, probes) = (BTreeMap::new(), Vec::new(), Vec::new());
+        let sink = DecisionSink {
+            queries,
+            timers,
+            probes,
+            list_requested,
+            peers,
+            in_flight,
+            accepted: 0,
+            rejected: 0,
+        };
         let inner = Mutex::new(Inner { balancer, sink, max_executions });
         Arc::new(BalancerHandle { inner, clock: Clock::new(), backends, probe_path })
     }
@@ -165,7 +173,7 @@
         let Inner { balancer, sink, .. } = &mut *inner;
         let fed = balancer.round(self.clock.now_us(), sink, feed);
         // The balancer has at most one pending timer of each kind, so there are few of these tasks.
-        for (in_us, token) in sink.wakes.drain(..) {
+        for (in_us, token) in sink.timers.drain(..) {
             tokio::spawn(Arc::clone(self).wake(in_us, token));
         }
         // At most one probe per backend is in flight.
@@ -222,9 +230,9 @@
     pub fn take_load_sample(&self) -> (Vec<BackendCapacity>, u64, u64) {
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         let rooms = inner.balancer.capacities().collect();
-        let (taken, rejected) =
-            (std::mem::take(&mut inner.sink.taken), std::mem::take(&mut inner.sink.rejected));
-        (rooms, taken, rejected)
+        let (accepted, rejected) =
+            (std::mem::take(&mut inner.sink.accepted), std::mem::take(&mut inner.sink.rejected));
+        (rooms, accepted, rejected)
     }
 
     /// Registers a query. Its decisions arrive on the returned channel, the first one possibly at once.
@@ -237,15 +245,15 @@
         hint_us: Option<u64>,
         is_retry: bool,
     ) -> Result<mpsc::Receiver<Decision>, QueryError> {
-        let decided = {
+        let decisions = {
             let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
             if inner.sink.queries.contains_key(id) {
                 return Err(QueryError::DuplicateId);
             }
-            let (sender, decided) = mpsc::channel(inner.max_pending_decisions());
+            let (sender, decisions) = mpsc::channel(inner.max_pending_decisions());
             inner.sink.queries.insert(id.to_owned(), sender);
-            inner.sink.taken += 1;
-            decided
+            inner.sink.accepted += 1;
+            decisions
         };
         self.round(|inbox| inbox.query(id, workload, tenant, ttl_us, hint_us, is_retry)).map_err(
             |error| {
@@ -253,7 +261,7 @@
                 QueryError::Invalid(error)
             },
         )?;
-        Ok(decided)
+        Ok(decisions)
     }
 
     pub fn outcome(
--- a/crates/proxy/src/bodies.rs
+++ b/crates/proxy/src/bodies.rs
@@ -76,8 +76,8 @@
         cede_half(others, Arc::clone(&self.permits), self.total, || ()).await;
     }
 
-    async fn take(&self, permits: u32, within: Duration) -> Result<OwnedSemaphorePermit, BodyError> {
-        let taken = timeout(within, Arc::clone(&self.permits).acquire_many_owned(permits)).await;
+    async fn take(&self, permits: u32, max_wait: Duration) -> Result<OwnedSemaphorePermit, BodyError> {
+        let taken = timeout(max_wait, Arc::clone(&self.permits).acquire_many_owned(permits)).await;
         taken.ok().and_then(Result::ok).ok_or(BodyError::OutOfMemory)
     }
 }
@@ -88,7 +88,7 @@
     stall_timeout: Duration,
     min_bytes_per_s: f64,
     received: u64,
-    waited: Duration,
+    stalled_for: Duration,
     /// How long reading was delayed for lack of memory.
     memory_wait: Duration,
     /// When the current pause began and the timer that bounds it. A pause of the consumer does not count: it
@@ -98,8 +98,16 @@
 
 impl BodyReader {
     fn new(body: Body, stall_timeout: Duration, min_bytes_per_s: f64) -> Self {
-        let (waited, memory_wait) = (Duration::ZERO, Duration::ZERO);
-        BodyReader { body, stall_timeout, min_bytes_per_s, received: 0, waited, memory_wait, stall: None }
+        let (stalled_for, memory_wait) = (Duration::ZERO, Duration::ZERO);
+        BodyReader {
+            body,
+            stall_timeout,
+            min_bytes_per_s,
+            received: 0,
+            stalled_for,
+            memory_wait,
+            stall: None,
+        }
     }
 
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
@@ -112,7 +120,7 @@
                 return stall.1.as_mut().poll(cx).map(|()| Some(Err(BodyError::TimedOut)));
             };
             if let Some((since, _)) = self.stall.take() {
-                self.waited += since.elapsed();
+                self.stalled_for += since.elapsed();
             }
             return Poll::Ready(match frame {
                 None => None,
@@ -123,7 +131,7 @@
                     self.received += data.len() as u64;
                     let allowed =
                         self.stall_timeout.as_secs_f64() + self.received as f64 / self.min_bytes_per_s;
-                    match self.waited.as_secs_f64() > allowed {
+                    match self.stalled_for.as_secs_f64() > allowed {
                         true => Some(Err(BodyError::TimedOut)),
                         false if self.received > MAX_BODY => Some(Err(BodyError::TooLong)),
                         false => Some(Ok(data)),
@@ -137,24 +145,24 @@
         std::future::poll_fn(|cx| self.poll(cx)).await
     }
 
-    /// Reads until the end or until more than `kept` bytes are buffered; returns whether the end was reached.
+    /// Reads until the end or until more than `max_buffered` bytes are buffered; returns whether the end was reached.
     /// Permits for the whole body are acquired at once: bodies that hold some and wait for more could deadlock.
     /// A body of unknown length is not buffered past `until`: it may be long and must not be cut off.
     async fn read(
         &mut self,
         pool: &Pool,
-        kept: usize,
+        max_buffered: usize,
         until: Option<Instant>,
-        within: Duration,
+        max_wait: Duration,
     ) -> Result<(Bytes, bool, Permit), BodyError> {
         let until = until.filter(|_| self.body.size_hint().upper().is_none());
         let short = self.body.size_hint().upper().is_some_and(|most| most <= MAX_BUFFERED as u64);
         let (mut read, mut permit) = (BytesMut::new(), None);
-        while read.len() <= kept {
-            if (read.len() > UNPOOLED || kept == 0) && permit.is_none() {
+        while read.len() <= max_buffered {
+            if (read.len() > UNPOOLED || max_buffered == 0) && permit.is_none() {
                 let since = Instant::now();
                 permit =
-                    Some(pool.take(if short { BUFFERED_PERMITS } else { STREAMED_PERMITS }, within).await?);
+                    Some(pool.take(if short { BUFFERED_PERMITS } else { STREAMED_PERMITS }, max_wait).await?);
                 self.memory_wait += since.elapsed();
             }
             let next = match until.filter(|_| !read.is_empty()) {
@@ -198,23 +206,23 @@
     /// None once an execution has begun to read it.
     rest: Mutex<Option<BodyReader>>,
     length: SizeHint,
-    ended: watch::Sender<Option<Instant>>,
+    sent_at: watch::Sender<Option<Instant>>,
     _permit: Permit,
 }
 
 impl Payload {
-    /// Reads the body. Waits for memory at most `within`, as the client may have sent all of it and its
+    /// Reads the body. Waits for memory at most `max_wait`, as the client may have sent all of it and its
     /// deadline is running. Also returns how long it waited.
-    pub async fn read(body: Body, pool: &Pool, within: Duration) -> Result<(Payload, Duration), BodyError> {
+    pub async fn read(body: Body, pool: &Pool, max_wait: Duration) -> Result<(Payload, Duration), BodyError> {
         let length = length(&body)?;
         let mut reader = BodyReader::new(body, CLIENT_STALL_TIMEOUT, MIN_BYTES_PER_S);
-        let (first, complete, permit) = reader.read(pool, MAX_BUFFERED, None, within).await?;
+        let (first, complete, permit) = reader.read(pool, MAX_BUFFERED, None, max_wait).await?;
         if complete {
             return Ok((Payload::Buffered(first, Arc::new(permit)), reader.memory_wait));
         }
         let memory_wait = reader.memory_wait;
-        let (rest, ended) = (Mutex::new(Some(reader)), watch::Sender::new(None));
-        let streamed = StreamedBody { first, rest, length, ended, _permit: permit };
+        let (rest, sent_at) = (Mutex::new(Some(reader)), watch::Sender::new(None));
+        let streamed = StreamedBody { first, rest, length, sent_at, _permit: permit };
         Ok((Payload::Streamed(Arc::new(streamed)), memory_wait))
     }
 
@@ -240,7 +248,7 @@
     pub fn sent_at(&self) -> Option<Instant> {
         match self {
             Payload::Buffered(..) => None,
-            Payload::Streamed(streamed) => *streamed.ended.borrow(),
+            Payload::Streamed(streamed) => *streamed.sent_at.borrow(),
         }
     }
 
@@ -249,9 +257,9 @@
         match self {
             Payload::Buffered(..) => None,
             Payload::Streamed(streamed) => {
-                let mut ended = streamed.ended.subscribe();
-                let ended = ended.wait_for(Option::is_some).await;
-                ended.ok().and_then(|ended| *ended)
+                let mut sent_at = streamed.sent_at.subscribe();
+                let sent_at = sent_at.wait_for(Option::is_some).await;
+                sent_at.ok().and_then(|sent_at| *sent_at)
             }
         }
     }
@@ -298,7 +306,7 @@
         // With a declared length, nothing is polled after its last byte.
         if data.is_none() || rest.body.is_end_stream() {
             (this.on_progress)(true);
-            this.streamed.ended.send_replace(Some(Instant::now()));
+            this.streamed.sent_at.send_replace(Some(Instant::now()));
         }
         Poll::Ready(data.map(|data| data.map(Frame::data)))
     }
@@ -324,8 +332,8 @@
         let mut reader = BodyReader::new(body, BACKEND_STALL_TIMEOUT, f64::MIN_POSITIVE);
         // If the declared length is large, forward the first bytes at once: a slow backend takes a second to
         // fill the buffer.
-        let kept = if declared.lower() > MAX_BUFFERED as u64 { 0 } else { MAX_BUFFERED };
-        let (first, complete, permit) = reader.read(pool, kept, Some(until), Duration::MAX).await?;
+        let max_buffered = if declared.lower() > MAX_BUFFERED as u64 { 0 } else { MAX_BUFFERED };
+        let (first, complete, permit) = reader.read(pool, max_buffered, Some(until), Duration::MAX).await?;
         let length = if complete { SizeHint::with_exact(first.len() as u64) } else { declared };
         let (first, rest) = (Some(first), (!complete).then_some(reader));
         Ok(Answer { first, rest, length, read: None, _permit: permit })
--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -83,14 +83,14 @@
     /// Put backends back into service
     Back(Backends),
     /// Confirm that a departed proxy is down and will send nothing, so that work no longer waits for it
-    Forget(Named),
+    Forget(NamedTarget),
     /// Take machines out of service for maintenance, in an order that the proxies agree on
     #[command(subcommand)]
     Work(Work),
 }
 
 #[derive(clap::Args)]
-pub struct Named {
+pub struct NamedTarget {
     /// Name of a plan, a machine or a proxy
     #[arg(value_parser = one_word)]
     pub name: String,
@@ -128,15 +128,15 @@
     /// Show a plan: the stage of each machine, and what it waits for
     Show(Show),
     /// Pause a plan: no further machine is taken out
-    Pause(Named),
+    Pause(NamedTarget),
     /// Resume a paused plan
-    Resume(Named),
+    Resume(NamedTarget),
     /// Cancel a plan: no further machine is taken out; machines under work come back when it is done
-    Cancel(Named),
+    Cancel(NamedTarget),
     /// Report that work on a machine is finished
-    Done(Named),
+    Done(NamedTarget),
     /// Report that work on a machine failed: it stays out until the work is done
-    Failed(Named),
+    Failed(NamedTarget),
 }
 
 fn one_word(text: &str) -> Result<String, String> {
--- a/crates/proxy/src/connect.rs
+++ b/crates/proxy/src/connect.rs
@@ -32,8 +32,8 @@
 pub struct Connector {
     budget: Arc<Semaphore>,
     connections: Arc<Mutex<BTreeMap<u64, Arc<TrackedConnection>>>>,
-    timeout: Duration,
-    idle: Duration,
+    connect_timeout: Duration,
+    idle_timeout: Duration,
     /// Set in a fleet: until when anything may be sent.
     right: Option<Right>,
     pub endpoints: Arc<Endpoints>,
@@ -73,7 +73,7 @@
     answer: Option<(Instant, usize)>,
     /// Whether the response is streamed: then its reader bounds how long it may pause.
     streaming: bool,
-    why: Option<&'static str>,
+    end_reason: Option<&'static str>,
     reader: Option<Waker>,
 }
 
@@ -143,14 +143,19 @@
 }
 
 impl Connector {
-    pub fn new(budget: usize, timeout: Duration, idle: Duration, right: Option<Right>) -> Self {
+    pub fn new(
+        budget: usize,
+        connect_timeout: Duration,
+        idle_timeout: Duration,
+        right: Option<Right>,
+    ) -> Self {
         let (budget, connections, endpoints) =
             (Arc::new(Semaphore::new(budget)), Arc::default(), Arc::default());
-        Connector { budget, connections, timeout, idle, right, endpoints }
+        Connector { budget, connections, connect_timeout, idle_timeout, right, endpoints }
     }
 
-    pub fn timeout(&self) -> Duration {
-        self.timeout
+    pub fn connect_timeout(&self) -> Duration {
+        self.connect_timeout
     }
 
     pub fn may_send(&self) -> bool {
@@ -162,7 +167,7 @@
         let connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
         for connection in connections.values().filter(|connection| connection.backend == backend) {
             let mut state = connection.lock();
-            state.why.get_or_insert("backend_gone");
+            state.end_reason.get_or_insert("backend_gone");
             state.wake();
         }
     }
@@ -176,11 +181,11 @@
         let connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
         let idle = connections.values().filter_map(|connection| {
             let state = connection.lock();
-            state.idle_since.filter(|_| state.why.is_none()).map(|since| (since, connection))
+            state.idle_since.filter(|_| state.end_reason.is_none()).map(|since| (since, connection))
         });
         if let Some((_, connection)) = idle.min_by_key(|(since, _)| *since) {
             let mut state = connection.lock();
-            state.why = Some("over_budget");
+            state.end_reason = Some("over_budget");
             state.wake();
         }
     }
@@ -191,7 +196,7 @@
         address: SocketAddr,
     ) -> Result<BackendStream, Box<dyn std::error::Error + Send + Sync>> {
         // One deadline covers both waits: the backend may be drained meanwhile.
-        let until = Instant::now() + self.timeout;
+        let until = Instant::now() + self.connect_timeout;
         let spare = Arc::clone(&self.budget).try_acquire_owned();
         let permit = match spare {
             Ok(permit) => permit,
@@ -216,7 +221,7 @@
             executions: 0,
             answer: None,
             streaming: false,
-            why: None,
+            end_reason: None,
             reader: None,
         };
         let connection = Arc::new(TrackedConnection { backend, state: Mutex::new(state) });
@@ -232,9 +237,9 @@
             connections: self.connections,
             address,
             opened: Instant::now(),
-            idle: self.idle,
-            max_pause: self.timeout,
-            idle_timer: Box::pin(sleep(self.idle)),
+            idle_timeout: self.idle_timeout,
+            max_pause: self.connect_timeout,
+            idle_timer: Box::pin(sleep(self.idle_timeout)),
             right: self.right,
             endpoints: self.endpoints,
             _permit: permit,
@@ -270,7 +275,7 @@
     connections: Arc<Mutex<BTreeMap<u64, Arc<TrackedConnection>>>>,
     address: SocketAddr,
     opened: Instant,
-    idle: Duration,
+    idle_timeout: Duration,
     /// How long a response that has begun may pause: a few round trips, the same as opening a connection.
     max_pause: Duration,
     idle_timer: Pin<Box<Sleep>>,
@@ -301,31 +306,31 @@
                 let (_, length) = state.answer.unwrap_or((Instant::now(), 0));
                 state.answer = Some((Instant::now(), length + received));
                 if state.idle_since.is_some() {
-                    state.why.get_or_insert("more_than_asked");
+                    state.end_reason.get_or_insert("more_than_asked");
                 } else if length + received > MAX_ANSWER {
-                    state.why.get_or_insert("endless");
+                    state.end_reason.get_or_insert("endless");
                     return Poll::Ready(Err(io::ErrorKind::InvalidData.into()));
                 }
             }
             Poll::Ready(Ok(())) => {
-                state.why.get_or_insert("closed_by_backend");
+                state.end_reason.get_or_insert("closed_by_backend");
             }
             Poll::Ready(Err(_)) => {
-                state.why.get_or_insert("reset_by_backend");
+                state.end_reason.get_or_insert("reset_by_backend");
             }
             Poll::Pending => {
                 state.reader = Some(cx.waker().clone());
-                let (until, why) = match (state.idle_since, state.answer) {
+                let (until, end_reason) = match (state.idle_since, state.answer) {
                     // Reporting the end of input makes the client drop an idle connection.
-                    (Some(_), _) if state.why.is_some() => return Poll::Ready(Ok(())),
-                    (Some(since), _) => (since + this.idle, "idle"),
+                    (Some(_), _) if state.end_reason.is_some() => return Poll::Ready(Ok(())),
+                    (Some(since), _) => (since + this.idle_timeout, "idle"),
                     (None, Some((received, _))) if !state.streaming => (received + this.max_pause, "endless"),
                     (None, _) => return read,
                 };
                 this.idle_timer.as_mut().reset(until);
                 if this.idle_timer.as_mut().poll(cx).is_ready() {
-                    state.why.get_or_insert(why);
-                    return match why {
+                    state.end_reason.get_or_insert(end_reason);
+                    return match end_reason {
                         "idle" => Poll::Ready(Ok(())),
                         _ => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
                     };
@@ -364,9 +369,9 @@
         let open = || self.endpoints.available_address(self.connection.backend) == Some(self.address);
         let reason = reason.or_else(|| (!open()).then_some("out_of_bounds"));
         if let Some(reason) = reason {
-            state.why.get_or_insert(reason);
+            state.end_reason.get_or_insert(reason);
         }
-        if state.why.is_some() {
+        if state.end_reason.is_some() {
             state.idle_since.get_or_insert_with(Instant::now);
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
@@ -382,7 +387,7 @@
         match &written {
             Poll::Ready(Ok(length)) => state.written += length,
             Poll::Ready(Err(_)) => {
-                state.why.get_or_insert("reset_by_backend");
+                state.end_reason.get_or_insert("reset_by_backend");
             }
             Poll::Pending => {}
         }
@@ -427,7 +432,7 @@
         // The client may drop an idle connection before it closes itself.
         let ended = if state.idle_since.is_some() { "idle" } else { "given_up" };
         tracing::info!(
-            code = state.why.unwrap_or(ended),
+            code = state.end_reason.unwrap_or(ended),
             address = %self.address,
             executions = state.executions,
             open_ms = self.opened.elapsed().as_millis() as u64,
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -79,7 +79,7 @@
     registry: Arc<Mutex<BackendRegistry>>,
     generation: u64,
     /// Setting `Safety.RemovalNotBinding`: backends that the list drops may still receive requests.
-    only_draining_binds: bool,
+    removal_not_binding: bool,
     /// Dropped by the list, but the balancer may still use them.
     dropped: BTreeMap<u32, String>,
     /// A full list is needed before updates can be applied: discovery has moved to a new address, or its
@@ -90,7 +90,7 @@
     /// Maximum delay of the first call, so that proxies that start together don't call at the same time.
     start: Duration,
     /// Whether anything was received yet.
-    heard: watch::Sender<bool>,
+    received: watch::Sender<bool>,
 }
 
 impl Discovery {
@@ -99,7 +99,7 @@
         backends: Arc<Backends>,
         zones: Vec<String>,
         registry: Arc<Mutex<BackendRegistry>>,
-        only_draining_binds: bool,
+        removal_not_binding: bool,
         pushed: bool,
         proxies: usize,
     ) -> Self {
@@ -110,23 +110,23 @@
             zones,
             registry,
             generation: 0,
-            only_draining_binds,
+            removal_not_binding,
             dropped: BTreeMap::new(),
             full_list_needed: false,
             pushed,
             start: Duration::from_micros(start_us),
-            heard: watch::Sender::new(false),
+            received: watch::Sender::new(false),
         }
     }
 
     /// Becomes true with the first message from discovery.
-    pub fn heard(&self) -> watch::Receiver<bool> {
-        self.heard.subscribe()
+    pub fn received(&self) -> watch::Receiver<bool> {
+        self.received.subscribe()
     }
 
     /// Removes a backend; if removal is not binding, only once the balancer no longer uses it.
     fn remove(&mut self, id: &str, backend: u32) {
-        if self.only_draining_binds {
+        if self.removal_not_binding {
             self.dropped.insert(backend, id.to_owned());
         } else {
             self.registry().remove(id);
@@ -172,7 +172,7 @@
             list.instances.iter().map(|entry| self.entry(entry)).collect();
         self.generation = list.generation;
         let items = items?;
-        self.serving(&items);
+        self.update_serving(&items);
         self.balancer.list(true, &items);
         Ok(())
     }
@@ -195,14 +195,14 @@
             }));
         }
         self.generation = list.generation;
-        self.serving(&items);
+        self.update_serving(&items);
         self.balancer.list(list.reset, &items);
         self.release_unused();
     }
 
     /// Updates the serving state, which also applies to executions still waiting for a connection. Removed
     /// backends keep theirs: removal may not be binding.
-    fn serving(&self, items: &[Listed]) {
+    fn update_serving(&self, items: &[Listed]) {
         for item in items.iter().filter(|item| item.phase != Phase::Gone) {
             self.backends.endpoints().set_serving(item.backend, item.phase == Phase::Ready);
         }
@@ -213,29 +213,29 @@
     pub fn follow(
         self,
         address_changes: watch::Receiver<SocketAddr>,
-        wanted: Arc<Notify>,
+        list_requested: Arc<Notify>,
     ) -> impl Future<Output = ()> {
         let first = *address_changes.borrow();
-        self.follow_from(first, address_changes, wanted)
+        self.follow_from(first, address_changes, list_requested)
     }
 
     async fn follow_from(
         mut self,
         mut last: SocketAddr,
         mut address_changes: watch::Receiver<SocketAddr>,
-        wanted: Arc<Notify>,
+        list_requested: Arc<Notify>,
     ) {
         let mut backoff = AGENT_BACKOFF[0];
         sleep(self.start.mul_f64(fastrand::f64())).await;
         loop {
             tokio::select! {
-                () = wanted.notified() => {}
+                () = list_requested.notified() => {}
                 Ok(()) = address_changes.changed() => {}
             }
             // Both may be ready at once, so the branch that was taken doesn't show whether the address changed.
             let address = *address_changes.borrow_and_update();
             self.full_list_needed |= std::mem::replace(&mut last, address) != address;
-            let heard = self.generation;
+            let previous = self.generation;
             let WatchError { failure, why } = tokio::select! {
                 ended = self.watch(address) => {
                     let Err(error) = ended;
@@ -249,13 +249,13 @@
             };
             tracing::warn!(code = "watch_ended", %address, generation = self.generation, "{why}");
             if self.pushed {
-                backoff = if heard == self.generation {
+                backoff = if previous == self.generation {
                     (backoff * 2).min(AGENT_BACKOFF[1])
                 } else {
                     AGENT_BACKOFF[0]
                 };
                 sleep(backoff).await;
-                wanted.notify_one();
+                list_requested.notify_one();
             } else {
                 self.balancer.notify(|inbox| inbox.list_failed(failure));
             }
@@ -279,11 +279,12 @@
         // Ends by itself when the response below is dropped.
         tokio::spawn(connection);
         if self.full_list_needed {
-            let whole = get(&mut sender, address, "/api/targets".to_owned()).await?.into_body();
-            let whole = timeout(RESPONSE_TIMEOUT, Limited::new(whole, MAX_LIST_BYTES).collect()).await;
-            let whole = whole.map_err(|_| WatchError::silent("silent"))?;
-            let whole = whole.map_err(|error| WatchError::refused(error.to_string()))?.to_bytes();
-            let list = parse_list(&whole).map_err(WatchError::refused)?;
+            let full_list = get(&mut sender, address, "/api/targets".to_owned()).await?.into_body();
+            let full_list =
+                timeout(RESPONSE_TIMEOUT, Limited::new(full_list, MAX_LIST_BYTES).collect()).await;
+            let full_list = full_list.map_err(|_| WatchError::silent("silent"))?;
+            let full_list = full_list.map_err(|error| WatchError::refused(error.to_string()))?.to_bytes();
+            let list = parse_list(&full_list).map_err(WatchError::refused)?;
             self.update(&List { reset: true, ..list });
             self.full_list_needed = false;
             sender.ready().await?;
@@ -315,7 +316,7 @@
                     self.watch_confirmed(address);
                 }
             }
-            self.heard.send_if_modified(|heard| !std::mem::replace(heard, true));
+            self.received.send_if_modified(|received| !std::mem::replace(received, true));
         }
     }
 }
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -84,7 +84,7 @@
         loop {
             let wanted = *drain.borrow_and_update();
             controller.set_fleet_drain(wanted);
-            self.handle.tell(Call::Empty(wanted && in_flight.empty()));
+            self.handle.tell(Call::Empty(wanted && in_flight.is_empty()));
             tokio::select! {
                 changed = drain.changed() => if changed.is_err() { return },
                 () = sleep(SAMPLE_INTERVAL), if wanted => {}
@@ -157,7 +157,7 @@
                         }
                     }
                     // A count dropped to zero, possibly at a machine whose work waits for it.
-                    () = drains.in_flight.ended.notified() => drains.tell_busy(false),
+                    () = drains.in_flight.reached_zero.notified() => drains.report_busy(false),
                     _ = samples.tick() => {
                         if let Some(view) = sampler.sample(&drains) {
                             drains.handle.tell(Call::View(view));
@@ -310,7 +310,7 @@
 
 impl FleetDrains {
     /// Reports the applied version, and which drained backends still have requests in flight.
-    fn tell_busy(&mut self, version_changed: bool) {
+    fn report_busy(&mut self, version_changed: bool) {
         let registry = self.registry();
         let out = registry.drained(DrainSource::Fleet).into_iter();
         let busy = self.in_flight.busy(out.map(|id| (id.clone(), registry.latest(&id).backend)));
@@ -334,7 +334,7 @@
             }
         }
         self.reported.0 = publication.version;
-        self.tell_busy(true);
+        self.report_busy(true);
         publication.version
     }
 
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -51,7 +51,7 @@
     // SAFETY: the descriptor is only borrowed until it is duplicated; a number that is not open yields an
     // error.
     let given = unsafe { BorrowedFd::borrow_raw(number) };
-    let own = || {
+    let duplicate = || {
         if !SockRef::from(&given).is_listener()? {
             return Err(std::io::Error::other("not a listening socket"));
         }
@@ -59,7 +59,7 @@
         listener.set_nonblocking(true)?;
         TcpListener::from_std(listener)
     };
-    own().map(Some).map_err(|error| format!("{name}: descriptor {number}: {error}"))
+    duplicate().map(Some).map_err(|error| format!("{name}: descriptor {number}: {error}"))
 }
 
 /// Backends taken out by operators: applied to the balancer, stored in a file that outlives the process, and
@@ -119,8 +119,8 @@
         let ids = self.registry.lock().unwrap_or_else(PoisonError::into_inner).drained(DrainSource::Operator);
         let next = file.with_extension(format!("{}", std::process::id()));
         let text = serde_json::to_vec(&ids).map_err(|error| error.to_string())?;
-        let kept = std::fs::write(&next, text).and_then(|()| std::fs::rename(&next, file));
-        kept.map_err(|error| format!("{}: {error}", file.display()))
+        let stored = std::fs::write(&next, text).and_then(|()| std::fs::rename(&next, file));
+        stored.map_err(|error| format!("{}: {error}", file.display()))
     }
 
     /// Handles an operator's call; it is in force at all processes once this returns.
@@ -147,7 +147,7 @@
     directory: File,
     /// Common prefix of this proxy's socket names.
     prefix: String,
-    own: String,
+    own_socket: String,
     present: Mutex<BTreeSet<String>>,
     others: watch::Sender<usize>,
     manual_drains: OnceLock<Weak<ManualDrains>>,
@@ -163,17 +163,17 @@
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         // The separator is needed because another address may begin with the whole of this one.
         let prefix = prefix + "-";
-        let own = format!("{prefix}{}-{:x}{SOCKET_SUFFIX}", std::process::id(), now.as_nanos());
+        let own_socket = format!("{prefix}{}-{:x}{SOCKET_SUFFIX}", std::process::id(), now.as_nanos());
         let (others, manual_drains) = (watch::Sender::new(0), OnceLock::new());
         let handover = Arc::new(Handover {
             directory: open,
             prefix,
-            own,
+            own_socket,
             present: Mutex::default(),
             others,
             manual_drains,
         });
-        let listener = UnixListener::bind(handover.path(&handover.own));
+        let listener = UnixListener::bind(handover.path(&handover.own_socket));
         let listener = listener.map_err(|error| format!("{}: {error}", directory.display()))?;
         tokio::spawn(Arc::clone(&handover).listen(listener));
         handover.refresh().await;
@@ -203,11 +203,11 @@
     async fn refresh(&self) {
         let names = std::fs::read_dir(self.path("")).into_iter().flatten().flatten();
         let names = names.filter_map(|entry| entry.file_name().into_string().ok());
-        let ours = |name: &String| {
-            name.starts_with(&self.prefix) && name.ends_with(SOCKET_SUFFIX) && *name != self.own
+        let is_other_process = |name: &String| {
+            name.starts_with(&self.prefix) && name.ends_with(SOCKET_SUFFIX) && *name != self.own_socket
         };
-        for name in names.filter(ours) {
-            match self.ask(&name, &format!("HERE {}", self.own)).await {
+        for name in names.filter(is_other_process) {
+            match self.ask(&name, &format!("HERE {}", self.own_socket)).await {
                 Ok(_) => self.set_present(&name, true),
                 Err(error) if is_gone(&error) => {
                     let _ = std::fs::remove_file(self.path(&name));
@@ -292,6 +292,6 @@
 
     /// Removes this process's socket.
     pub fn remove_socket(&self) {
-        let _ = std::fs::remove_file(self.path(&self.own));
+        let _ = std::fs::remove_file(self.path(&self.own_socket));
     }
 }
--- a/crates/proxy/src/in_flight.rs
+++ b/crates/proxy/src/in_flight.rs
@@ -20,7 +20,7 @@
 pub struct InFlight {
     counts: Mutex<Counts>,
     /// Signalled when a count drops to zero.
-    pub ended: Notify,
+    pub reached_zero: Notify,
 }
 
 /// Counts one execution, from its decision to its end, or one query.
@@ -58,12 +58,12 @@
     }
 
     /// The given backends that have executions in flight.
-    pub fn busy(&self, of: impl Iterator<Item = (String, u32)>) -> BTreeSet<String> {
+    pub fn busy(&self, backends: impl Iterator<Item = (String, u32)>) -> BTreeSet<String> {
         let counts = self.lock();
-        of.filter(|(_, number)| counts.backends.contains_key(number)).map(|(id, _)| id).collect()
+        backends.filter(|(_, number)| counts.backends.contains_key(number)).map(|(id, _)| id).collect()
     }
 
-    pub fn empty(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         let counts = self.lock();
         counts.queries == 0 && counts.backends.is_empty()
     }
@@ -72,23 +72,24 @@
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let mut counts = self.in_flight.lock();
-        let none = match self.backend {
+        let is_zero = match self.backend {
             None => {
                 counts.queries = counts.queries.saturating_sub(1);
                 counts.queries == 0
             }
             Some(backend) => {
-                let left = counts.backends.get(&backend).map_or(0, |left| left.saturating_sub(1));
-                match left {
+                let remaining =
+                    counts.backends.get(&backend).map_or(0, |remaining| remaining.saturating_sub(1));
+                match remaining {
                     0 => counts.backends.remove(&backend),
-                    left => counts.backends.insert(backend, left),
+                    remaining => counts.backends.insert(backend, remaining),
                 };
-                left == 0
+                remaining == 0
             }
         };
         drop(counts);
-        if none {
-            self.in_flight.ended.notify_one();
+        if is_zero {
+            self.in_flight.reached_zero.notify_one();
         }
     }
 }
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -37,7 +37,7 @@
 
     /// Completes when the process is ending and no further request should be accepted: SIGKILL may arrive
     /// before its response.
-    pub async fn too_late(mut lifecycle: watch::Receiver<Lifecycle>) {
+    pub async fn acceptance_over(mut lifecycle: watch::Receiver<Lifecycle>) {
         let ending = lifecycle
             .wait_for(|lifecycle| matches!(lifecycle, Lifecycle::Ending(_)))
             .await
@@ -49,7 +49,7 @@
     }
 
     /// Whether the process is ending and SIGKILL may arrive before the response to a request received now.
-    pub fn is_too_late(&self) -> bool {
+    pub fn is_acceptance_over(&self) -> bool {
         matches!(self, Lifecycle::Ending(since) if since.elapsed() >= ACCEPT_AFTER_TERM)
     }
 
--- a/crates/proxy/src/operate.rs
+++ b/crates/proxy/src/operate.rs
@@ -11,7 +11,7 @@
 use crankpick_fleet::work::{self, Bounds, MachineKind, Plan};
 use serde_json::{json, Value};
 
-use crate::cli::{Backends, Fleet, Named, ProxyTarget, Work};
+use crate::cli::{Backends, Fleet, NamedTarget, ProxyTarget, Work};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Longer than the proxy waits for the fleet.
@@ -50,7 +50,7 @@
         Fleet::Owner(at) => owners(at),
         Fleet::Out(backends) => set_out(backends, "OUT"),
         Fleet::Back(backends) => set_out(backends, "BACK"),
-        Fleet::Forget(named) => simple_command("FORGET", named),
+        Fleet::Forget(target) => simple_command("FORGET", target),
         Fleet::Work(work) => match work {
             Work::Add(add) => {
                 let draft = plan_file::read(&add.plan)?;
@@ -60,11 +60,11 @@
             }
             Work::List(at) => list(at),
             Work::Show(args) => show(&args.plan, &args.at),
-            Work::Pause(named) => simple_command("PAUSE", named),
-            Work::Resume(named) => simple_command("RESUME", named),
-            Work::Cancel(named) => simple_command("CANCEL", named),
-            Work::Done(named) => simple_command("DONE", named),
-            Work::Failed(named) => simple_command("FAILED", named),
+            Work::Pause(target) => simple_command("PAUSE", target),
+            Work::Resume(target) => simple_command("RESUME", target),
+            Work::Cancel(target) => simple_command("CANCEL", target),
+            Work::Done(target) => simple_command("DONE", target),
+            Work::Failed(target) => simple_command("FAILED", target),
         },
     }
 }
@@ -76,9 +76,9 @@
     call(at.at, &format!("FLEET WORK {order} {id:x} {text}")).map_err(|why| format!("{why} ({retry_hint})"))
 }
 
-fn simple_command(order: &str, named: &Named) -> Result<String, String> {
-    let said = commit(order, &named.name, &named.at, named.call)?;
-    Ok(if named.at.json { said } else { format!("agreed: {} {}", order.to_lowercase(), named.name) })
+fn simple_command(order: &str, target: &NamedTarget) -> Result<String, String> {
+    let said = commit(order, &target.name, &target.at, target.call)?;
+    Ok(if target.at.json { said } else { format!("agreed: {} {}", order.to_lowercase(), target.name) })
 }
 
 fn work(at: SocketAddr) -> Result<(work::Work, FleetView), String> {
@@ -126,8 +126,8 @@
     if !plan.is_over() && !plan.waits.is_empty() {
         lines.push(format!("waits: {}", plan.waits));
     }
-    let (told, silent) = (view.told, view.proxies - view.in_touch);
-    lines.push(format!("seen by {told} of {} proxies, {silent} silent", view.proxies));
+    let (reported, silent) = (view.told, view.proxies - view.in_touch);
+    lines.push(format!("seen by {reported} of {} proxies, {silent} silent", view.proxies));
     for (id, machine) in &plan.machines {
         let place = match machine.is {
             MachineKind::Proxy => "proxy".to_owned(),
@@ -177,8 +177,8 @@
 
 /// Proxies in contact that have not applied a version yet.
 fn pending_members(status: &Status, version: u64) -> Vec<String> {
-    let behind = status.members.iter().filter(|one| one.acted < version).map(|one| one.name.clone());
-    behind.chain(status.unheard.iter().cloned()).collect()
+    let pending = status.members.iter().filter(|one| one.acted < version).map(|one| one.name.clone());
+    pending.chain(status.unheard.iter().cloned()).collect()
 }
 
 fn set_out(backends: &Backends, word: &str) -> Result<String, String> {
--- a/crates/proxy/src/query.rs
+++ b/crates/proxy/src/query.rs
@@ -49,10 +49,10 @@
         return rejected(proxy.retry_after_us);
     }
     let guard = proxy.balancer.in_flight().map(|in_flight| in_flight.query());
-    hold_until_sent(answered(proxy, request).await, guard)
+    hold_until_sent(handle(proxy, request).await, guard)
 }
 
-async fn answered(proxy: Arc<Proxy>, request: Request) -> Response<Body> {
+async fn handle(proxy: Arc<Proxy>, request: Request) -> Response<Body> {
     let (mut head, body) = request.into_parts();
     // Conflicting lengths may hide a second request in the body (request smuggling), and so may a request whose
     // framing was not tracked.
@@ -70,7 +70,7 @@
     let read = tokio::select! {
         biased;
         read = Payload::read(body, &proxy.bodies, params.wait / 2) => read,
-        () = Lifecycle::too_late(proxy.lifecycle.clone()) => Err(BodyError::TimedOut),
+        () = Lifecycle::acceptance_over(proxy.lifecycle.clone()) => Err(BodyError::TimedOut),
     };
     let (payload, memory_wait) = match read {
         Ok(read) => read,
@@ -86,7 +86,7 @@
         }
     };
     // SIGKILL might arrive before its response. It was sent nowhere yet, so another proxy may take it.
-    if proxy.lifecycle.borrow().is_too_late() {
+    if proxy.lifecycle.borrow().is_acceptance_over() {
         return rejected(proxy.retry_after_us);
     }
     // The client's deadline counts from the last byte that it sent: subtract the time that a pipelined request,
@@ -98,15 +98,15 @@
     let (workload, tenant) = (params.workload.number, params.tenant);
     let accepted =
         proxy.balancer.query(&params.id, workload, tenant, ttl_us, params.hint_us, params.is_retry);
-    let decided = match accepted {
-        Ok(decided) => decided,
+    let decisions = match accepted {
+        Ok(decisions) => decisions,
         Err(QueryError::DuplicateId) => {
             return plain(StatusCode::BAD_REQUEST, "this X-Request-Id is in hand already")
         }
         Err(QueryError::Invalid(error)) => return plain(StatusCode::BAD_REQUEST, &error),
     };
     let not_retryable = params.workload.repeat == Repeat::NonIdempotent;
-    let mut active = ActiveQuery::new(Arc::clone(&proxy.balancer), params.id, decided);
+    let mut active = ActiveQuery::new(Arc::clone(&proxy.balancer), params.id, decisions);
     let head = Arc::new(head);
     let mut ending = proxy.ending.clone();
     loop {
@@ -120,7 +120,7 @@
                     return answer;
                 }
             }
-            decided = active.decided.recv() => match decided {
+            decision = active.decisions.recv() => match decision {
                 Some(Decision::Execute { backend, timeout_us, begin_within_us, guard }) => {
                     let wait = if payload.is_streamed() { wait } else { Duration::from_micros(timeout_us) };
                     let (backends, head) = (Arc::clone(&proxy.backends), Arc::clone(&head));
@@ -132,7 +132,7 @@
                             payload.body(move |whole| balancer.notify(|inbox| inbox.body_progress(&id, whole)))
                         }
                     };
-                    let too_late = Lifecycle::too_late(proxy.lifecycle.clone());
+                    let acceptance_over = Lifecycle::acceptance_over(proxy.lifecycle.clone());
                     // An execution that has not begun ends with its query, or when the time in which duplicates
                     // are recognised is over.
                     let begin_within = Duration::from_micros(begin_within_us).saturating_sub(proxy.backends.max_send_delay());
@@ -142,7 +142,7 @@
                         let _ = timeout(begin_within, gone).await;
                     };
                     let execution =
-                        backends.execute(backend, head, wait, not_retryable, payload, body, too_late, unwanted);
+                        backends.execute(backend, head, wait, not_retryable, payload, body, acceptance_over, unwanted);
                     let execution = async move {
                         let mut outcome = execution.await;
                         outcome.answer = outcome.answer.map(|answer| hold_until_sent(answer, guard));
@@ -175,7 +175,7 @@
 struct ActiveQuery {
     balancer: Arc<BalancerHandle>,
     id: String,
-    decided: mpsc::Receiver<Decision>,
+    decisions: mpsc::Receiver<Decision>,
     running_executions: Vec<(u32, Running)>,
     /// Number of executions decided so far, which is the number of the next one.
     executions: u32,
@@ -185,12 +185,12 @@
 }
 
 impl ActiveQuery {
-    fn new(balancer: Arc<BalancerHandle>, id: String, decided: mpsc::Receiver<Decision>) -> Self {
+    fn new(balancer: Arc<BalancerHandle>, id: String, decisions: mpsc::Receiver<Decision>) -> Self {
         let alive = watch::Sender::new(());
         ActiveQuery {
             balancer,
             id,
-            decided,
+            decisions,
             running_executions: Vec::new(),
             executions: 0,
             answered: false,
@@ -216,10 +216,10 @@
 /// Waits for the next execution to end; never completes while none is running.
 async fn next_outcome(running_executions: &mut Vec<(u32, Running)>) -> (u32, ExecutionOutcome) {
     poll_fn(|cx| {
-        for (place, (execution, running)) in running_executions.iter_mut().enumerate() {
+        for (index, (execution, running)) in running_executions.iter_mut().enumerate() {
             if let Poll::Ready(outcome) = running.as_mut().poll(cx) {
                 let execution = *execution;
-                drop(running_executions.remove(place));
+                drop(running_executions.remove(index));
                 return Poll::Ready((execution, outcome));
             }
         }
@@ -233,8 +233,8 @@
         if !self.answered {
             self.balancer.withdrawn(&self.id);
         }
-        while let Ok(decided) = self.decided.try_recv() {
-            match decided {
+        while let Ok(decision) = self.decisions.try_recv() {
+            match decision {
                 Decision::Cancel { execution } => self.cancel(execution),
                 // Decided at the moment the client disconnected: it was never sent and must not count as
                 // running.
--- a/crates/proxy/src/registry.rs
+++ b/crates/proxy/src/registry.rs
@@ -38,13 +38,16 @@
             return *last;
         }
         let number = self.out.get(id).map(|out| out.number);
-        let taken = |number: u32| {
+        let in_use = |number: u32| {
             let listed = self.listed.values().any(|listed| listed.backend == number);
             listed || self.out.values().any(|out| out.number == number)
         };
         let backend = number.unwrap_or_else(|| {
-            let first = hash(id);
-            (0..).map(|step| first.wrapping_add(step)).find(|number| !taken(*number)).unwrap_or(first)
+            let preferred = hash(id);
+            (0..)
+                .map(|step| preferred.wrapping_add(step))
+                .find(|number| !in_use(*number))
+                .unwrap_or(preferred)
         });
         Listed { backend, ..Listed::default() }
     }
@@ -57,8 +60,8 @@
     /// back.
     pub fn set_drain(&mut self, id: &str, by: DrainSource, is_out: bool) -> Option<u32> {
         let number = self.latest(id).backend;
-        let was = self.out.get(id).copied();
-        let mut out = was.unwrap_or(Drain { number, operator: false, fleet: false });
+        let previous = self.out.get(id).copied();
+        let mut out = previous.unwrap_or(Drain { number, operator: false, fleet: false });
         match by {
             DrainSource::Operator => out.operator = is_out,
             DrainSource::Fleet => out.fleet = is_out,
@@ -67,15 +70,15 @@
             true => self.out.insert(id.to_owned(), out),
             false => self.out.remove(id),
         };
-        (was.is_some() != (out.operator || out.fleet)).then_some(number)
+        (previous.is_some() != (out.operator || out.fleet)).then_some(number)
     }
 
     pub fn drained(&self, by: DrainSource) -> Vec<String> {
-        let of = |out: &Drain| match by {
+        let matches = |out: &Drain| match by {
             DrainSource::Operator => out.operator,
             DrainSource::Fleet => out.fleet,
         };
-        self.out.iter().filter(|(_, out)| of(out)).map(|(id, _)| id.clone()).collect()
+        self.out.iter().filter(|(_, out)| matches(out)).map(|(id, _)| id.clone()).collect()
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (&String, &Listed)> {
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -103,16 +103,16 @@
     address(&config, "listen")?;
     address(&config, "discovery")?;
     probe_path(&config)?;
-    let none = |discovery_address: &Value, name: &str| {
+    let is_zero = |discovery_address: &Value, name: &str| {
         discovery_address.get(name).is_some_and(|value| value.as_u64() == Some(0))
     };
-    if none(&settings["Limits"], "MaxExecutions") {
+    if is_zero(&settings["Limits"], "MaxExecutions") {
         return Err("Limits.MaxExecutions in the settings: must not be 0".into());
     }
     let mut names = Vec::new();
     for workload in settings["Workloads"].as_array().into_iter().flatten() {
         let name: String = at(workload, "Name")?;
-        if let Some(time) = ["SloTimeUs", "StatementTimeoutUs"].iter().find(|time| none(workload, time)) {
+        if let Some(time) = ["SloTimeUs", "StatementTimeoutUs"].iter().find(|time| is_zero(workload, time)) {
             return Err(format!("{time} of workload {name:?} in the settings: must not be 0"));
         }
         if name.is_empty() || names.contains(&name) {
@@ -125,26 +125,26 @@
 
 /// Path of a value that is in the current configuration but missing from the new one. Entries of a non-empty
 /// list must have the fields that all entries of the current list have.
-fn missing(was: &Value, is: &Value, path: &str) -> Option<String> {
-    match (was, is) {
-        (Value::Object(was), Value::Object(is)) => was.iter().find_map(|(name, was)| {
+fn missing(current: &Value, new: &Value, path: &str) -> Option<String> {
+    match (current, new) {
+        (Value::Object(current), Value::Object(new)) => current.iter().find_map(|(name, current)| {
             let path = format!("{path}{}{name}", if path.is_empty() { "" } else { "." });
-            match is.get(name) {
+            match new.get(name) {
                 // A null value counts as absent. The `known` list belongs to discovery.
-                None | Some(Value::Null) if was.is_null() => None,
+                None | Some(Value::Null) if current.is_null() => None,
                 None | Some(Value::Null) => Some(path),
                 Some(_) if path == "known" => None,
-                Some(is) => missing(was, is, &path),
+                Some(new) => missing(current, new, &path),
             }
         }),
-        (Value::Array(was), Value::Array(is)) => {
-            let (first, others) = was.split_first().filter(|(first, _)| first.is_object())?;
+        (Value::Array(current), Value::Array(new)) => {
+            let (first, others) = current.split_first().filter(|(first, _)| first.is_object())?;
             let mut common = first.clone();
             let fields = common.as_object_mut()?;
             fields.retain(|name, _| others.iter().all(|other| other.get(name).is_some()));
-            match is.is_empty() {
+            match new.is_empty() {
                 true => Some(format!("{path}: an entry")),
-                false => is.iter().find_map(|entry| missing(&common, entry, path)),
+                false => new.iter().find_map(|entry| missing(&common, entry, path)),
             }
         }
         (Value::Object(_) | Value::Array(_), _) => Some(path.to_owned()),
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -148,11 +148,11 @@
         fleet.as_ref().map(Fleet::right),
     ));
     let balancer = crankpick_launch::balancer(seed(&config)?, settings)?;
-    let list_wanted = Arc::new(Notify::new());
+    let list_requested = Arc::new(Notify::new());
     let balancer = BalancerHandle::new(
         balancer,
         at(settings, "Limits.MaxExecutions")?,
-        Arc::clone(&list_wanted),
+        Arc::clone(&list_requested),
         Arc::clone(&peers),
         Arc::clone(&backends),
         probe_path(&config)?,
@@ -161,15 +161,15 @@
     // If the list is pushed, the balancer never requests it: start the first watch here.
     let pushed = at::<String>(settings, "Discovery")? != "subscribe";
     if pushed {
-        list_wanted.notify_one();
+        list_requested.notify_one();
     }
-    let only_draining_binds: bool = at(settings, "Safety.RemovalNotBinding")?;
+    let removal_not_binding: bool = at(settings, "Safety.RemovalNotBinding")?;
     let mut discovery = Discovery::new(
         Arc::clone(&balancer),
         Arc::clone(&backends),
         zones,
         Arc::clone(&registry),
-        only_draining_binds,
+        removal_not_binding,
         pushed,
         at(settings, "Balancers")?,
     );
@@ -182,8 +182,8 @@
     let known: List = at(&config, "known")?;
     discovery.load_known(&known).map_err(|error| format!("known: {error}"))?;
     let (discovery_address, prefix) = watch::channel(address(&config, "discovery")?);
-    let mut heard = discovery.heard();
-    tokio::spawn(discovery.follow(prefix, list_wanted));
+    let mut received = discovery.received();
+    tokio::spawn(discovery.follow(prefix, list_requested));
     let balancer_for_peers = Arc::clone(&balancer);
     tokio::spawn(peers.listen(move |peer, note| balancer_for_peers.notify(|inbox| inbox.told(peer, note))));
     tokio::spawn(Arc::clone(&backends).share_with(others.clone(), executions));
@@ -215,7 +215,7 @@
         false if pushed => AGENT_TIMEOUT,
         false => Duration::ZERO,
     };
-    let _ = timeout(startup_wait, heard.wait_for(|heard| *heard)).await;
+    let _ = timeout(startup_wait, received.wait_for(|received| *received)).await;
     let second_listener =
         second_address(&config)?.map(|address| listener(address, "admin_addr")).transpose()?;
     let listener = match inherited {
--- a/crates/proxy/tests/sockets/daily.rs
+++ b/crates/proxy/tests/sockets/daily.rs
@@ -18,9 +18,9 @@
 fn a_call_is_one_line_and_callers_that_end_none_hold_up_nobody() {
     let discovery = Discovery::start();
     let proxy = Proxy::start(&with_admin(&discovery, &[refusing_address()]));
-    let asked = Instant::now();
+    let started = Instant::now();
     let mut unended: Vec<Client> = (0..40).map(|_| proxy.caller()).collect();
-    unended[39].say(b"PING");
+    unended[39].send(b"PING");
     assert_eq!(proxy.call("PING\n"), "YES\n");
     assert_eq!(proxy.call("  PING \r\n"), "YES\n");
     let long = "PING ".repeat(400) + "\n";
@@ -31,41 +31,41 @@
         assert!(answer.starts_with("NO ") && answer.ends_with('\n'), "{invalid:?}: {answer:?}");
     }
     let mut bytes = proxy.caller();
-    bytes.say(b"\xff\xfe PING\n");
+    bytes.send(b"\xff\xfe PING\n");
     assert!(bytes.line().starts_with("NO "));
-    assert!(asked.elapsed() < Duration::from_secs(1), "they wait for those that end no call");
+    assert!(started.elapsed() < Duration::from_secs(1), "they wait for those that end no call");
     assert_eq!(
         unended.iter_mut().map(Client::line).collect::<String>(),
         "",
         "each is closed in bounded time"
     );
-    assert!(asked.elapsed() < Duration::from_secs(5));
+    assert!(started.elapsed() < Duration::from_secs(5));
 }
 
 #[test]
 fn a_drained_proxy_answers_what_comes_and_closes_until_it_rejoins() {
     let discovery = Discovery::start();
-    let sound = Backend::answering(|asked| asked.answer(200, "", "ok"));
+    let sound = Backend::answering(|request| request.answer(200, "", "ok"));
     let proxy = Proxy::start(&with_admin(&discovery, &[sound]));
     let (mut used, mut idle, mut fresh) = (proxy.client(), proxy.client(), proxy.client());
     for (turn, client) in [&mut used, &mut idle].into_iter().enumerate() {
-        client.ask("read", &format!("before{turn}"), 2_000);
-        assert_eq!(client.heard().status(), 200);
+        client.send_query("read", &format!("before{turn}"), 2_000);
+        assert_eq!(client.receive().status(), 200);
     }
     let drained = Instant::now();
     assert_eq!((proxy.call("LAMEDUCK\n"), proxy.call("LAMEDUCK\n")), ("YES\n".into(), "YES\n".into()));
     assert!(proxy.call("PING\n").starts_with("NO "));
     // Connections opened before the drain, or in spite of it, are served; each response closes.
     let mut late = proxy.client();
-    late.say(READY);
-    assert_eq!(late.heard().status(), 503);
+    late.send(READY);
+    assert_eq!(late.receive().status(), 503);
     for (turn, client) in [&mut used, &mut fresh].into_iter().enumerate() {
-        client.ask("pay", &format!("after{turn}"), 2_000);
-        let heard = client.heard();
-        assert_eq!((heard.status(), heard.header("connection")), (200, Some("close")));
-        assert!(client.hear().is_none());
+        client.send_query("pay", &format!("after{turn}"), 2_000);
+        let response = client.receive();
+        assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
+        assert!(client.try_receive().is_none());
     }
-    assert!(idle.hear().is_none());
+    assert!(idle.try_receive().is_none());
     let ended = drained.elapsed();
     assert!(
         ended > Duration::from_secs(1) && ended < Duration::from_secs(2),
@@ -75,8 +75,8 @@
     assert_eq!(proxy.call("PING\n"), "YES\n");
     let mut client = proxy.client();
     for turn in 0..2 {
-        client.say(READY);
-        assert_eq!(client.heard().status(), 200, "turn {turn}");
+        client.send(READY);
+        assert_eq!(client.receive().status(), 200, "turn {turn}");
     }
 }
 
@@ -89,36 +89,36 @@
     configured["peer_listen"] = json!(notes.to_string());
     let mut old = platform.start(&configured);
     let (mut busy, mut kept) = (old.client(), old.client());
-    kept.ask("read", "before", 3_000);
+    kept.send_query("read", "before", 3_000);
     backend.next().answer(200, "", "ok");
-    assert_eq!(kept.heard().status(), 200);
-    busy.ask("pay", "taken", 3_000);
+    assert_eq!(kept.receive().status(), 200);
+    busy.send_query("pay", "taken", 3_000);
     let mut taken = backend.next();
     let new = platform.start(&configured);
     assert_eq!(new.call("PING\n"), "YES\n");
-    old.logged("code=\"processes\" others=1");
+    old.wait_for_log("code=\"processes\" others=1");
     old.terminate();
-    old.logged("code=\"stopping\"");
+    old.wait_for_log("code=\"stopping\"");
     for turn in 0..20 {
         let mut client = new.client();
-        client.ask("pay", &format!("late{turn}"), 3_000);
+        client.send_query("pay", &format!("late{turn}"), 3_000);
         backend.next().answer(200, "", "late");
-        assert_eq!(client.heard().status(), 200, "turn {turn}");
+        assert_eq!(client.receive().status(), 200, "turn {turn}");
     }
-    kept.ask("read", "kept", 3_000);
+    kept.send_query("read", "kept", 3_000);
     backend.next().answer(200, "", "ok");
-    let heard = kept.heard();
-    assert_eq!((heard.status(), heard.header("connection")), (200, Some("close")));
+    let response = kept.receive();
+    assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     taken.answer(200, "", "taken");
-    assert_eq!(busy.heard().body, b"taken");
+    assert_eq!(busy.receive().body, b"taken");
     assert!(old.ended().success());
-    new.logged("code=\"processes\" others=0");
+    new.wait_for_log("code=\"processes\" others=0");
 }
 
 #[test]
 fn without_a_folder_to_share_it_serves_all_the_same() {
     let discovery = Discovery::start();
-    let sound = Backend::answering(|asked| asked.answer(200, "", "ok"));
+    let sound = Backend::answering(|request| request.answer(200, "", "ok"));
     let mut platform = Platform::new("gone");
     platform.directory.push("not-there");
     let proxy = platform.start(&with_admin(&discovery, &[sound]));
@@ -159,38 +159,38 @@
     let shun = |proxy: &Proxy, after: &str| {
         for turn in 0..6 {
             let mut client = proxy.client();
-            client.ask("read", &format!("{after}{turn}"), 2_000);
+            client.send_query("read", &format!("{after}{turn}"), 2_000);
             stays.next().answer(200, "", "ok");
-            assert_eq!(client.heard().status(), 200);
+            assert_eq!(client.receive().status(), 200);
         }
         assert!(out.is_quiet(), "{after}");
     };
     shun(&old, "out");
     // The backend leaves the list and comes back restarted: it must still be out.
-    watch.say(&list(42, false, vec![instance("s-0", out.address, "DELETED")]).to_string());
+    watch.send(&list(42, false, vec![instance("s-0", out.address, "DELETED")]).to_string());
     let mut anew = instance("s-0", out.address, "SERVING");
     anew["startedAtMs"] = json!(1);
-    watch.say(&list(43, false, vec![anew]).to_string());
+    watch.send(&list(43, false, vec![anew]).to_string());
     shun(&old, "listed");
     let new = platform.start(&configured);
     shun(&new, "upgraded");
     // A call at either process applies to both.
     for (one, other) in [(&old, &new), (&new, &old)] {
         assert_eq!(one.call("ATTACH s-0\n"), "YES\n");
-        other.logged("code=\"back_by_hand\"");
+        other.wait_for_log("code=\"back_by_hand\"");
         assert_eq!(one.call("DETACH s-0\n"), "YES\n");
-        other.logged("code=\"out_by_hand\"");
+        other.wait_for_log("code=\"out_by_hand\"");
         shun(other, "told by the other");
     }
     drop(old);
     assert_eq!(new.call("ATTACH s-0\n"), "YES\n", "one that was killed is not waited for");
     let mut client = new.client();
     for turn in 0..20 {
-        client.ask("read", &format!("back{turn}"), 2_000);
-        let mut asked = next_of(&[&out, &stays]);
-        asked.answer(200, "", "ok");
-        assert_eq!(client.heard().status(), 200);
-        if asked.backend_address() == out.address {
+        client.send_query("read", &format!("back{turn}"), 2_000);
+        let mut request = next_of(&[&out, &stays]);
+        request.answer(200, "", "ok");
+        assert_eq!(client.receive().status(), 200);
+        if request.backend_address() == out.address {
             return;
         }
     }
@@ -251,14 +251,14 @@
         let mut client = proxy.client();
         let send = |client: &mut Client| {
             if chunked {
-                client.say(format!("{:x}\r\n", part.len()).as_bytes());
+                client.send(format!("{:x}\r\n", part.len()).as_bytes());
             }
-            client.say(&part);
+            client.send(&part);
             if chunked {
-                client.say(b"\r\n");
+                client.send(b"\r\n");
             }
         };
-        client.say(head("long", &said).as_bytes());
+        client.send(head("long", &said).as_bytes());
         let all = std::thread::scope(|scope| {
             scope.spawn(|| send(&mut client));
             let mut backend = accepted(&listener);
@@ -273,7 +273,7 @@
             scope.spawn(|| {
                 (0..3).for_each(|_| send(&mut client));
                 if chunked {
-                    client.say(b"0\r\nTrailer: t\r\n\r\n");
+                    client.send(b"0\r\nTrailer: t\r\n\r\n");
                 }
             });
             let mut left = LONG - LONG / 8;
@@ -294,7 +294,7 @@
             }
         });
         backend.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").expect("written");
-        assert_eq!(client.heard().body, b"ok");
+        assert_eq!(client.receive().body, b"ok");
     }
 }
 
@@ -306,8 +306,8 @@
     configured["settings"]["Workloads"][1]["Repeat"] = json!("dedup");
     let proxy = Proxy::start(&configured);
     let mut client = proxy.client();
-    client.say(head("gone", &format!("Idempotency-Key: k\r\nContent-Length: {LONG}\r\n")).as_bytes());
-    client.say(&vec![b'x'; 1 << 20]);
+    client.send(head("gone", &format!("Idempotency-Key: k\r\nContent-Length: {LONG}\r\n")).as_bytes());
+    client.send(&vec![b'x'; 1 << 20]);
     [&one, &two].iter().for_each(|listener| listener.set_nonblocking(true).expect("set"));
     let stream = loop {
         if let Some((stream, _)) = [&one, &two].iter().find_map(|listener| listener.accept().ok()) {
@@ -319,7 +319,7 @@
     let mut backend = BufReader::new(stream);
     backend.read_exact(&mut vec![0; 512 << 10]).expect("more than is kept");
     drop(backend);
-    assert!(matches!(client.heard().status(), 502 | 503));
+    assert!(matches!(client.receive().status(), 502 | 503));
     assert!([&one, &two].iter().all(|listener| listener.accept().is_err()));
 }
 
@@ -330,10 +330,10 @@
     let proxy = Proxy::start(&with_admin(&discovery, &[address]));
     for disconnects in [true, false] {
         let mut client = proxy.client();
-        client.say(
+        client.send(
             head("whole", &format!("Content-Length: {}\r\n", 1 << 20)).replace("2000m", "700m").as_bytes(),
         );
-        client.say(&vec![b'x'; 1 << 20]);
+        client.send(&vec![b'x'; 1 << 20]);
         let mut backend = accepted(&listener);
         head_of(&mut backend);
         backend.read_exact(&mut vec![0; 1 << 20]).expect("all of it");
@@ -341,7 +341,7 @@
         if disconnects {
             backend.get_mut().shutdown(std::net::Shutdown::Both).expect("shut");
         }
-        assert_eq!(client.heard().status(), 502, "{disconnects}");
+        assert_eq!(client.receive().status(), 502, "{disconnects}");
         assert!(gone.elapsed() < Duration::from_millis(1_000), "{disconnects}: {:?}", gone.elapsed());
     }
 }
@@ -352,14 +352,14 @@
     let (discovery, (listener, address)) = (Discovery::start(), manual_backend());
     let proxy = Proxy::start(&with_admin(&discovery, &[address]));
     let (mut short, mut long) = (proxy.client(), proxy.client());
-    short.say((head("short", "Content-Length: 9\r\n") + "some").as_bytes());
-    long.say(head("long", "Content-Length: 3000000\r\n").as_bytes());
-    long.say(&vec![b'x'; 1 << 20]);
+    short.send((head("short", "Content-Length: 9\r\n") + "some").as_bytes());
+    long.send(head("long", "Content-Length: 3000000\r\n").as_bytes());
+    long.send(&vec![b'x'; 1 << 20]);
     let mut backend = accepted(&listener);
     backend.read_exact(&mut vec![0; 512 << 10]).expect("more than is kept");
     let signalled = Instant::now();
     proxy.terminate();
-    assert_eq!((long.heard().status(), short.heard().status()), (503, 408), "neither has run");
+    assert_eq!((long.receive().status(), short.receive().status()), (503, 408), "neither has run");
     assert!(signalled.elapsed() < Duration::from_millis(1_500), "{:?}", signalled.elapsed());
 }
 
@@ -371,7 +371,7 @@
     let proxy = Proxy::start(&configured);
     for said in [format!("Content-Length: {LONG}\r\n"), "Connection: close\r\n".to_owned()] {
         let mut client = proxy.client();
-        client.ask("pay", "long", 1_000);
+        client.send_query("pay", "long", 1_000);
         let mut backend = accepted(&listener);
         head_of(&mut backend);
         backend.consume(2);
@@ -401,7 +401,7 @@
     let (discovery, (listener, address)) = (Discovery::start(), manual_backend());
     let proxy = Proxy::start(&with_admin(&discovery, &[address]));
     let mut client = proxy.client();
-    client.ask("pay", "slow", 600);
+    client.send_query("pay", "slow", 600);
     let mut backend = accepted(&listener);
     head_of(&mut backend);
     backend.get_mut().write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").expect("written");
@@ -425,7 +425,7 @@
     let (discovery, (listener, address)) = (Discovery::start(), manual_backend());
     let mut proxy = Proxy::start(&with_admin(&discovery, &[address]));
     let mut client = proxy.client();
-    client.ask("pay", "long", 1_000);
+    client.send_query("pay", "long", 1_000);
     let mut backend = accepted(&listener);
     head_of(&mut backend);
     let part = vec![b'x'; LONG / 8];
@@ -454,19 +454,19 @@
     let proxy = Proxy::start(&with_admin(&discovery, &[backend.address]));
     let mut client = proxy.client();
     let serve = |client: &mut Client, said: &[u8], body: &[u8]| {
-        client.say(said);
-        let mut asked = backend.next();
-        assert_eq!((asked.message.body.as_slice(), asked.message.header("expect")), (body, None));
-        asked.answer(200, "", "ok");
-        assert_eq!(client.heard().body, b"ok");
+        client.send(said);
+        let mut request = backend.next();
+        assert_eq!((request.message.body.as_slice(), request.message.header("expect")), (body, None));
+        request.answer(200, "", "ok");
+        assert_eq!(client.receive().body, b"ok");
     };
     let chunked =
         head("chunked", "Transfer-Encoding: chunked\r\nTrailer: T\r\n") + "2;x=y\r\nok\r\n0\r\nT: t\r\n\r\n";
-    chunked.as_bytes().iter().take(chunked.len() - 1).for_each(|byte| client.say(&[*byte]));
+    chunked.as_bytes().iter().take(chunked.len() - 1).for_each(|byte| client.send(&[*byte]));
     serve(&mut client, b"\n", b"ok");
     let absolute = head("absolute", "Content-Length: 0\r\n").replace("/pay/x", "http://api.internal/pay/x");
     serve(&mut client, absolute.as_bytes(), b"");
-    client.say(head("expects", "Content-Length: 2\r\nExpect: 100-continue\r\n").as_bytes());
+    client.send(head("expects", "Content-Length: 2\r\nExpect: 100-continue\r\n").as_bytes());
     assert_eq!(client.status_line(), 100);
     serve(&mut client, b"ok", b"ok");
     // Both are sent before either is answered; they are answered in order.
@@ -476,29 +476,29 @@
     let mut old = proxy.client();
     let said = head("old", "Content-Length: 0\r\n").replace("HTTP/1.1", "HTTP/1.0");
     serve(&mut old, said.as_bytes(), b"");
-    assert!(old.hear().is_none());
+    assert!(old.try_receive().is_none());
 }
 
 /// A client may take 2 s for a head, also after an idle time, and longer for a body that makes progress.
 #[test]
 fn slow_clients_are_served_and_those_that_stand_still_are_not() {
     let discovery = Discovery::start();
-    let sound = Backend::answering(|asked| asked.answer(200, "", "ok"));
+    let sound = Backend::answering(|request| request.answer(200, "", "ok"));
     let proxy = Proxy::start(&with_admin(&discovery, &[sound]));
     let mut client = proxy.client();
-    client.ask("read", "first", 1_000);
-    assert_eq!(client.heard().status(), 200);
+    client.send_query("read", "first", 1_000);
+    assert_eq!(client.receive().status(), 200);
     let said = head("slow", "Content-Length: 20\r\n") + &"x".repeat(20);
     let (pieces, mut sent) = (said.as_bytes().chunks(said.len() / 8 + 1), 0);
     for piece in pieces {
         std::thread::sleep(Duration::from_millis(300));
-        client.say(piece);
+        client.send(piece);
         sent += 1;
     }
-    assert_eq!((client.heard().status(), sent), (200, 8));
+    assert_eq!((client.receive().status(), sent), (200, 8));
     let stands = Instant::now();
-    client.say(&said.as_bytes()[..said.len() - 1]);
-    assert_eq!(client.heard().status(), 408);
+    client.send(&said.as_bytes()[..said.len() - 1]);
+    assert_eq!(client.receive().status(), 408);
     assert!(stands.elapsed() < Duration::from_secs(3));
 }
 
@@ -509,7 +509,7 @@
     let next = || next_of(&[&one, &other]);
     let proxy = Proxy::start(&first);
     let mut open = proxy.client();
-    open.ask("read", "open", 2_000);
+    open.send_query("read", "open", 2_000);
     let mut held = next();
     // A retryable workload becomes non-retryable, one is added and one removed, and only one execution is
     // allowed.
@@ -517,30 +517,30 @@
     second["settings"]["Workloads"] = json!([workload("new", "fragile"), workload("read", "fragile")]);
     second["settings"]["Limits"]["MaxExecutions"] = json!(1);
     proxy.reconfigure(&second.to_string());
-    proxy.logged("code=\"reloaded\"");
+    proxy.wait_for_log("code=\"reloaded\"");
     let mut client = proxy.client();
     for (ask, id, status) in [("pay", "dropped", 400), ("read", "a get", 400)] {
-        client.ask(ask, id, 2_000);
-        assert_eq!(client.heard().status(), status, "{id}");
+        client.send_query(ask, id, 2_000);
+        assert_eq!(client.receive().status(), status, "{id}");
     }
     for name in ["new", "read"] {
-        client.say(head(name, "Content-Length: 0\r\n").replace("/pay/", &format!("/{name}/")).as_bytes());
-        let mut asked = next();
-        assert_eq!(asked.message.header("x-request-id"), Some(name));
-        asked.answer(500, "", "");
-        assert_eq!(client.heard().status(), 502, "one chance, and one execution");
+        client.send(head(name, "Content-Length: 0\r\n").replace("/pay/", &format!("/{name}/")).as_bytes());
+        let mut request = next();
+        assert_eq!(request.message.header("x-request-id"), Some(name));
+        request.answer(500, "", "");
+        assert_eq!(client.receive().status(), 502, "one chance, and one execution");
     }
     // The running query may still be retried, with the limits that it started with.
     held.answer(500, "", "");
     let mut again = next();
     assert_eq!(again.message.header("x-request-id"), Some("open"));
     again.answer(200, "", "ok");
-    assert_eq!(open.heard().status(), 200);
+    assert_eq!(open.receive().status(), 200);
     proxy.reconfigure(&first.to_string());
-    proxy.logged("code=\"reloaded\"");
-    client.ask("pay", "back", 2_000);
+    proxy.wait_for_log("code=\"reloaded\"");
+    client.send_query("pay", "back", 2_000);
     next().answer(200, "", "ok");
-    assert_eq!(client.heard().status(), 200);
+    assert_eq!(client.receive().status(), 200);
 }
 
 #[test]
@@ -593,15 +593,15 @@
     }
     for text in broken {
         proxy.reconfigure(&text);
-        proxy.logged("code=\"reload_unsound\"");
+        proxy.wait_for_log("code=\"reload_unsound\"");
         let mut client = proxy.client();
-        client.ask("read", "same", 2_000);
-        let mut asked = backend.next();
-        asked.answer(200, "", "ok");
-        assert_eq!(client.heard().status(), 200, "{text}");
+        client.send_query("read", "same", 2_000);
+        let mut request = backend.next();
+        request.answer(200, "", "ok");
+        assert_eq!(client.receive().status(), 200, "{text}");
     }
     proxy.reconfigure(&whole);
-    proxy.logged("code=\"reloaded\"");
+    proxy.wait_for_log("code=\"reloaded\"");
 }
 
 /// Idle connections are closed to make room, or because they timed out, while their sockets hold requests that
@@ -609,14 +609,14 @@
 #[test]
 fn what_came_while_it_stood_still_is_answered() {
     let discovery = Discovery::start();
-    let sound = Backend::answering(|asked| asked.answer(200, "", "ok"));
+    let sound = Backend::answering(|request| request.answer(200, "", "ok"));
     let mut configured = with_admin(&discovery, &[sound]);
     configured["limits"]["sockets"] = json!(96);
     let proxy = Proxy::start(&configured);
     let mut clients: Vec<Client> = (0..20).map(|_| proxy.client()).collect();
     for (turn, client) in clients.iter_mut().enumerate() {
-        client.ask("read", &format!("before{turn}"), 3_000);
-        assert_eq!(client.heard().status(), 200);
+        client.send_query("read", &format!("before{turn}"), 3_000);
+        assert_eq!(client.receive().status(), 200);
     }
     proxy.stopped(|| {
         // Longer than the idle timeout of new connections, with more new connections than there is room for
@@ -624,10 +624,10 @@
         std::thread::sleep(Duration::from_millis(2_400));
         clients.extend((0..30).map(|_| proxy.client()));
         for (turn, client) in clients.iter_mut().enumerate() {
-            client.ask("read", &format!("meanwhile{turn}"), 3_000);
+            client.send_query("read", &format!("meanwhile{turn}"), 3_000);
         }
     });
     for (turn, client) in clients.iter_mut().enumerate() {
-        assert!(client.hear().is_some(), "{turn} was lost");
+        assert!(client.try_receive().is_some(), "{turn} was lost");
     }
 }
--- a/crates/proxy/tests/sockets/races.rs
+++ b/crates/proxy/tests/sockets/races.rs
@@ -18,9 +18,9 @@
 
 /// Sends updates and then an invalid line: once that has ended the watch, the updates have been applied.
 fn apply_updates(proxy: &Proxy, mut watch: Watch, news: &[Value]) {
-    news.iter().for_each(|news| watch.say(&news.to_string()));
-    watch.say("no JSON");
-    proxy.logged("code=\"watch_ended\"");
+    news.iter().for_each(|news| watch.send(&news.to_string()));
+    watch.send("no JSON");
+    proxy.wait_for_log("code=\"watch_ended\"");
 }
 
 #[test]
@@ -29,7 +29,7 @@
         let (discovery, gate) = (Discovery::start(), Gate::shut());
         let proxy = Proxy::start(&slow_connect_configuration(&discovery, &[gate.address]));
         let mut client = proxy.client();
-        client.ask(workload, "leaves", 40_000);
+        client.send_query(workload, "leaves", 40_000);
         gate.wait_for(1);
         drop(client);
         gate.wait_for(0);
@@ -45,7 +45,7 @@
         let proxy = Proxy::start(&configured);
         let watch = discovery.next();
         let mut client = proxy.client();
-        client.ask("pay", "waits", 40_000);
+        client.send_query("pay", "waits", 40_000);
         gate.wait_for(1);
         let one = |entry: Value| list(50, false, vec![entry]);
         match news {
@@ -57,7 +57,7 @@
             state => apply_updates(&proxy, watch, &[one(instance("s-0", gate.address, state))]),
         }
         // It was never executed, so without another backend it is rejected at once.
-        assert_eq!(client.heard().status(), 503, "{news}");
+        assert_eq!(client.receive().status(), 503, "{news}");
         gate.wait_for(0);
         assert!(other.is_quiet());
     }
@@ -69,17 +69,17 @@
     let proxy = Proxy::start(&slow_connect_configuration(&discovery, &[gate.address]));
     let mut watch = discovery.next();
     let mut client = proxy.client();
-    client.ask("pay", "waits", 40_000);
+    client.send_query("pay", "waits", 40_000);
     gate.wait_for(1);
-    watch.say(&list(50, false, vec![instance("s-1", other.address, "SERVING")]).to_string());
+    watch.send(&list(50, false, vec![instance("s-1", other.address, "SERVING")]).to_string());
     apply_updates(&proxy, watch, &[list(51, false, vec![instance("s-0", gate.address, "DRAINING")])]);
     other.next().answer(200, "", "ok");
-    assert_eq!(client.heard().body, b"ok");
+    assert_eq!(client.receive().body, b"ok");
     gate.wait_for(0);
     let late = gate.open();
-    client.ask("pay", "next", 40_000);
+    client.send_query("pay", "next", 40_000);
     other.next().answer(200, "", "ok");
-    assert_eq!(client.heard().body, b"ok");
+    assert_eq!(client.receive().body, b"ok");
     assert!(late.is_quiet());
 }
 
@@ -95,11 +95,11 @@
     // Either backend may come first: an execution without a connection was never sent and starts no window.
     for turn in 0..2 {
         let sent = Instant::now();
-        client.ask("move", &format!("q{turn}"), 40_000);
-        let asked = first.next();
+        client.send_query("move", &format!("q{turn}"), 40_000);
+        let request = first.next();
         let begun = Instant::now();
-        asked.break_off();
-        assert!(matches!(client.heard().status(), 502 | 503));
+        request.break_off();
+        assert!(matches!(client.receive().status(), 502 | 503));
         assert!(
             begun.elapsed() < Duration::from_secs(1),
             "after {:?}, {:?}",
@@ -117,8 +117,8 @@
         let (discovery, gate) = (Discovery::start(), Gate::shut());
         let proxy = Proxy::start(&slow_connect_configuration(&discovery, &[gate.address]));
         let mut client = proxy.client();
-        client.ask("pay", "leaves", 40_000);
-        client.say(&b"GET /read/x HTTP/1.1\r\nX-Request-Id: behind\r\n\r\n".repeat(behind / 40));
+        client.send_query("pay", "leaves", 40_000);
+        client.send(&b"GET /read/x HTTP/1.1\r\nX-Request-Id: behind\r\n\r\n".repeat(behind / 40));
         gate.wait_for(1);
         client.leave(resets);
         gate.wait_for(0);
@@ -139,20 +139,22 @@
     let proxy = Proxy::start(&configured);
     // Three executions fill a backend when no peer reports others.
     let mut busy: Vec<Client> = (0..3).map(|_| proxy.client()).collect();
-    busy.iter_mut().enumerate().for_each(|(n, client)| client.ask("read", &format!("busy{n}"), 40_000));
+    busy.iter_mut()
+        .enumerate()
+        .for_each(|(n, client)| client.send_query("read", &format!("busy{n}"), 40_000));
     let mut taken: Vec<ReceivedRequest> = (0..3).map(|_| backend.next()).collect();
     let mut leaving = proxy.client();
-    leaving.ask("read", "leaves", 40_000);
-    leaving.ask("read", "behind", 40_000);
+    leaving.send_query("read", "leaves", 40_000);
+    leaving.send_query("read", "behind", 40_000);
     leaving.leave(false);
-    proxy.logged("code=\"client_gone\"");
-    taken.iter_mut().for_each(|asked| asked.answer(200, "", "ok"));
-    busy.iter_mut().for_each(|client| assert_eq!(client.heard().status(), 200));
-    busy[0].ask("read", "next", 40_000);
+    proxy.wait_for_log("code=\"client_gone\"");
+    taken.iter_mut().for_each(|request| request.answer(200, "", "ok"));
+    busy.iter_mut().for_each(|client| assert_eq!(client.receive().status(), 200));
+    busy[0].send_query("read", "next", 40_000);
     let mut next = backend.next();
     assert_eq!(next.message.header("x-request-id"), Some("next"));
     next.answer(200, "", "ok");
-    assert!(busy[0].heard().status() == 200 && backend.is_quiet());
+    assert!(busy[0].receive().status() == 200 && backend.is_quiet());
 }
 
 /// The request and the end of the client's stream are read together, as after the process was suspended.
@@ -161,25 +163,25 @@
     let (discovery, backend) = (Discovery::start(), Backend::start());
     let proxy = Proxy::start(&configuration(&discovery, &[backend.address]));
     let mut known = proxy.client();
-    known.ask("read", "before", 3_000);
+    known.send_query("read", "before", 3_000);
     backend.next().answer(200, "", "ok");
-    assert_eq!(known.heard().status(), 200);
+    assert_eq!(known.receive().status(), 200);
     proxy.stopped(|| {
-        known.ask("pay", "known", 3_000);
+        known.send_query("pay", "known", 3_000);
         known.leave(false);
         let mut fresh = proxy.client();
-        fresh.ask("pay", "fresh", 3_000);
+        fresh.send_query("pay", "fresh", 3_000);
         fresh.leave(false);
     });
     for _ in 0..2 {
-        proxy.logged("code=\"client_gone\"");
+        proxy.wait_for_log("code=\"client_gone\"");
     }
     let mut client = proxy.client();
-    client.ask("pay", "next", 3_000);
+    client.send_query("pay", "next", 3_000);
     let mut next = backend.next();
     assert_eq!(next.message.header("x-request-id"), Some("next"));
     next.answer(200, "", "ok");
-    assert_eq!(client.heard().status(), 200);
+    assert_eq!(client.receive().status(), 200);
 }
 
 /// Updates of discovery must be applied within 6 s, even if calls to it fail meanwhile.
@@ -189,7 +191,7 @@
     let _proxy = Proxy::start(&configuration(&discovery, &[refusing_address()]));
     let mut first = discovery.next();
     let silent = Instant::now();
-    first.say("");
+    first.send("");
     let _second = discovery.next();
     let _third = discovery.next();
     assert!(silent.elapsed() < Duration::from_secs(6), "{:?}", silent.elapsed());
@@ -215,23 +217,23 @@
     let proxy = Proxy::start(&configuration(&discovery, &[old.address]));
     let mut watch = discovery.next();
     let drains = vec![instance("s-0", old.address, "DRAINING"), instance("s-1", new.address, "SERVING")];
-    watch.say(&list(50, false, drains).to_string());
-    watch.say(&list(49, false, vec![instance("s-0", old.address, "SERVING")]).to_string());
+    watch.send(&list(50, false, drains).to_string());
+    watch.send(&list(49, false, vec![instance("s-0", old.address, "SERVING")]).to_string());
     let whole = discovery.next();
-    assert_eq!(whole.asked, "GET /api/targets HTTP/1.1");
+    assert_eq!(whole.request, "GET /api/targets HTTP/1.1");
     let mut client = proxy.client();
     for turn in 0..4 {
-        client.ask("read", &format!("q{turn}"), 2_000);
+        client.send_query("read", &format!("q{turn}"), 2_000);
         new.next().answer(200, "", "ok");
-        assert_eq!(client.heard().status(), 200);
+        assert_eq!(client.receive().status(), 200);
     }
     assert!(old.is_quiet());
     // Discovery may have restarted its generations: its full list is applied.
-    let watch = whole.tell(&list(3, true, vec![instance("s-0", old.address, "SERVING")]).to_string());
-    assert_eq!(watch.asked, "GET /api/targets?watch=1&after=3 HTTP/1.1");
-    client.ask("read", "back", 2_000);
+    let watch = whole.respond(&list(3, true, vec![instance("s-0", old.address, "SERVING")]).to_string());
+    assert_eq!(watch.request, "GET /api/targets?watch=1&after=3 HTTP/1.1");
+    client.send_query("read", "back", 2_000);
     old.next().answer(200, "", "ok");
-    assert_eq!(client.heard().status(), 200);
+    assert_eq!(client.receive().status(), 200);
 }
 
 /// Updates known to the local agent must be applied from the start of the process.
@@ -246,18 +248,18 @@
         let proxy = scope.spawn(|| Proxy::start(&configured));
         let mut watch = discovery.next();
         assert!(std::net::TcpStream::connect(listen).is_err(), "it accepts already");
-        watch.say(&list(50, false, vec![instance("s-0", drains.address, "DRAINING")]).to_string());
+        watch.send(&list(50, false, vec![instance("s-0", drains.address, "DRAINING")]).to_string());
         let proxy = proxy.join().expect("it starts");
         let mut client = proxy.client();
         for turn in 0..4 {
-            client.ask("read", &format!("q{turn}"), 2_000);
+            client.send_query("read", &format!("q{turn}"), 2_000);
             serves.next().answer(200, "", "ok");
-            assert_eq!(client.heard().status(), 200);
+            assert_eq!(client.receive().status(), 200);
         }
         assert!(drains.is_quiet());
         // Neither may a watch that ends delay an update.
         let ended = Instant::now();
-        watch.say("no JSON");
+        watch.send("no JSON");
         let _next = discovery.next();
         assert!(ended.elapsed() < Duration::from_millis(240), "{:?}", ended.elapsed());
     });
@@ -272,9 +274,9 @@
     let proxy = Proxy::start(&configured);
     assert!(started.elapsed() < Duration::from_secs(5), "{:?}", started.elapsed());
     let mut client = proxy.client();
-    client.ask("read", "q", 2_000);
+    client.send_query("read", "q", 2_000);
     backend.next().answer(200, "", "ok");
-    assert_eq!(client.heard().status(), 200);
+    assert_eq!(client.receive().status(), 200);
 }
 
 /// When an ending process no longer accepts requests, since SIGKILL may arrive before the response.
@@ -286,24 +288,24 @@
     let mut proxy = Proxy::start(&configuration(&discovery, &[backend.address]));
     let mut clients: Vec<Client> = (0..4).map(|_| proxy.client()).collect();
     // A query in flight keeps its connection open. Behind it are another request, half a head and half a body.
-    clients[0].ask("pay", "taken", 3_000);
+    clients[0].send_query("pay", "taken", 3_000);
     let mut taken = backend.next();
-    clients[0].ask("pay", "behind", 3_000);
-    clients[1].say(b"GET /read/x HTTP/1.1\r\nX-Request-Id: half\r\n");
+    clients[0].send_query("pay", "behind", 3_000);
+    clients[1].send(b"GET /read/x HTTP/1.1\r\nX-Request-Id: half\r\n");
     let body = "POST /pay/x HTTP/1.1\r\nX-Request-Id: body\r\nContent-Length: 2\r\n\r\no";
-    clients[2].say(body.as_bytes());
+    clients[2].send(body.as_bytes());
     proxy.terminate();
-    proxy.logged("code=\"stopping\"");
+    proxy.wait_for_log("code=\"stopping\"");
     let signalled = Instant::now();
     // The half body is answered with 408 once the process accepts no more requests.
-    assert_eq!(clients[2].heard().status(), 408);
+    assert_eq!(clients[2].receive().status(), 408);
     assert!(signalled.elapsed() >= LATE - Duration::from_millis(50));
     taken.answer(200, "", "ok");
-    assert_eq!(clients[0].heard().status(), 200);
-    clients[1].say(b"\r\n");
-    let heard = clients[1].heard();
-    assert_eq!((heard.status(), heard.header("connection")), (503, Some("close")));
-    assert!(heard.header("retry-after").is_some());
+    assert_eq!(clients[0].receive().status(), 200);
+    clients[1].send(b"\r\n");
+    let response = clients[1].receive();
+    assert_eq!((response.status(), response.header("connection")), (503, Some("close")));
+    assert!(response.header("retry-after").is_some());
     assert!(backend.is_quiet() && proxy.ended().success());
 }
 
@@ -313,18 +315,21 @@
     let (discovery, backend) = (Discovery::start(), Backend::start());
     let mut proxy = Proxy::start(&configuration(&discovery, &[backend.address]));
     proxy.terminate();
-    proxy.logged("code=\"stopping\"");
+    proxy.wait_for_log("code=\"stopping\"");
     let signalled = Instant::now();
     let mut clients = Vec::new();
     proxy.stopped(|| {
         clients.extend((0..5).map(|_| proxy.client()));
-        clients.iter_mut().enumerate().for_each(|(n, client)| client.ask("pay", &format!("q{n}"), 3_000));
+        clients
+            .iter_mut()
+            .enumerate()
+            .for_each(|(n, client)| client.send_query("pay", &format!("q{n}"), 3_000));
         // The time itself must pass here.
         std::thread::sleep((LATE + Duration::from_millis(100)).saturating_sub(signalled.elapsed()));
     });
     for client in &mut clients {
-        let heard = client.heard();
-        assert!(heard.status() == 503 && heard.header("retry-after").is_some(), "{}", heard.head);
+        let response = client.receive();
+        assert!(response.status() == 503 && response.header("retry-after").is_some(), "{}", response.head);
     }
     assert!(backend.is_quiet() && proxy.ended().success());
 }
@@ -336,17 +341,17 @@
     configured["admin_addr"] = json!("127.0.0.1:0");
     let proxy = Proxy::start(&configured);
     let mut client = proxy.client();
-    client.ask("pay", "last", 3_000);
-    let mut asked = backend.next();
-    client.say(&[b'x'; 600_000]);
+    client.send_query("pay", "last", 3_000);
+    let mut request = backend.next();
+    client.send(&[b'x'; 600_000]);
     // When drained, it closes the connection after the response, with bytes still unread.
     assert_eq!(proxy.call("LAMEDUCK\n"), "YES\n");
-    asked.answer(200, "", "ok");
-    proxy.logged("code=\"drained\"");
+    request.answer(200, "", "ok");
+    proxy.wait_for_log("code=\"drained\"");
     // Its response shows that the other connection has been closed, if at all.
     assert!(proxy.call("PING\n").starts_with("NO"));
     assert!(!client.is_reset());
-    assert_eq!((client.heard().body.as_slice(), client.hear().is_none()), (b"ok".as_slice(), true));
+    assert_eq!((client.receive().body.as_slice(), client.try_receive().is_none()), (b"ok".as_slice(), true));
 }
 
 /// Without a declared length the end of the connection ends the response, but only an orderly close.
@@ -356,25 +361,25 @@
     let proxy = Proxy::start(&configuration(&discovery, &[backend.address]));
     for (turn, resets) in [false, true, false, true].into_iter().enumerate() {
         let mut client = proxy.client();
-        client.ask("pay", &format!("short{turn}"), 3_000);
-        let mut asked = backend.next();
-        asked.say(b"HTTP/1.1 200 OK\r\n\r\nsome");
-        asked.end(resets);
-        assert_eq!(client.heard().status(), if resets { 502 } else { 200 }, "turn {turn}");
+        client.send_query("pay", &format!("short{turn}"), 3_000);
+        let mut request = backend.next();
+        request.send(b"HTTP/1.1 200 OK\r\n\r\nsome");
+        request.end(resets);
+        assert_eq!(client.receive().status(), if resets { 502 } else { 200 }, "turn {turn}");
     }
     // A response larger than the buffer is streamed; an HTTP/1.0 client too can detect its end only by the
     // close.
     for (version, resets) in [("1.1", false), ("1.1", true), ("1.0", false), ("1.0", true)] {
         let mut client = proxy.client();
         let head = format!("GET /read/x HTTP/{version}\r\nHost: x\r\nX-Request-Id: {version}{resets}\r\n");
-        client.say(format!("{head}X-Deadline: 3000m\r\nConnection: close\r\n\r\n").as_bytes());
-        let mut asked = backend.next();
+        client.send(format!("{head}X-Deadline: 3000m\r\nConnection: close\r\n\r\n").as_bytes());
+        let mut request = backend.next();
         let (part, chunked) = (vec![b'x'; 300_000], version == "1.1");
-        asked.say(b"HTTP/1.1 200 OK\r\n\r\n");
-        asked.say(&part);
+        request.send(b"HTTP/1.1 200 OK\r\n\r\n");
+        request.send(&part);
         assert_eq!(client.status_line(), 200);
         client.rest(200_000, Duration::ZERO);
-        asked.end(resets);
+        request.end(resets);
         let (rest, in_order) = client.rest_in_order();
         let whole = in_order && (!chunked || rest.ends_with(b"0\r\n\r\n"));
         assert_eq!(whole, !resets, "HTTP/{version}, resets {resets}, in order {in_order}");
@@ -390,26 +395,26 @@
     configured["admin_addr"] = json!("127.0.0.1:0");
     configured["limits"]["sockets"] = json!(72);
     let proxy = Proxy::started(&configured, program("ulimit -n 72;"));
-    proxy.logged("code=\"watch_ended\"");
+    proxy.wait_for_log("code=\"watch_ended\"");
     let mut crowd: Vec<Client> = (0..200).map(|_| proxy.client()).collect();
-    crowd.iter_mut().step_by(3).for_each(|client| client.say(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"));
+    crowd.iter_mut().step_by(3).for_each(|client| client.send(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"));
     let mut fresh = proxy.client();
-    fresh.ask("read", "meanwhile", 3_000);
+    fresh.send_query("read", "meanwhile", 3_000);
     backend.next().answer(200, "", "ok");
-    assert_eq!(fresh.heard().status(), 200);
+    assert_eq!(fresh.receive().status(), 200);
     assert_eq!(proxy.call("PING\n"), "YES\n");
     let back = Instant::now();
     let discovery = Discovery::start_at(place);
     let mut watch = discovery.next();
     let drains =
         vec![instance("s-0", backend.address, "DRAINING"), instance("s-1", other.address, "SERVING")];
-    watch.say(&list(50, false, drains).to_string());
+    watch.send(&list(50, false, drains).to_string());
     apply_updates(&proxy, watch, &[]);
     assert!(back.elapsed() < Duration::from_secs(2), "{:?}", back.elapsed());
     let mut fresh = proxy.client();
-    fresh.ask("read", "after", 3_000);
+    fresh.send_query("read", "after", 3_000);
     other.next().answer(200, "", "ok");
-    assert!(fresh.heard().status() == 200 && backend.is_quiet());
+    assert!(fresh.receive().status() == 200 && backend.is_quiet());
 }
 
 /// Any invalid input on a watch must lead to another call soon, and no part of it may be applied.
@@ -431,12 +436,12 @@
     .enumerate()
     {
         let mut watch = discovery.next();
-        assert!(watch.asked.ends_with("after=41 HTTP/1.1"), "{}", watch.asked);
-        watch.say(unsound);
-        proxy.logged("code=\"watch_ended\"");
-        client.ask("read", &format!("q{turn}"), 3_000);
+        assert!(watch.request.ends_with("after=41 HTTP/1.1"), "{}", watch.request);
+        watch.send(unsound);
+        proxy.wait_for_log("code=\"watch_ended\"");
+        client.send_query("read", &format!("q{turn}"), 3_000);
         backend.next().answer(200, "", "ok");
-        assert_eq!(client.heard().status(), 200, "{unsound}");
+        assert_eq!(client.receive().status(), 200, "{unsound}");
     }
     // Invalid entries: backends they name are drained, the other entries are applied, and the watch continues.
     let odd =
@@ -446,9 +451,9 @@
     news.push(instance("s-1", other.address, "SERVING"));
     let watch = discovery.next();
     apply_updates(&proxy, watch, &[list(60, false, news)]);
-    client.ask("read", "after", 3_000);
+    client.send_query("read", "after", 3_000);
     other.next().answer(200, "", "ok");
-    assert!(client.heard().status() == 200 && backend.is_quiet());
+    assert!(client.receive().status() == 200 && backend.is_quiet());
 }
 
 /// All body memory is held by requests whose backend neither responds nor reads.
@@ -467,38 +472,38 @@
     let mut holding: Vec<Client> = (0..8).map(|_| proxy.client()).collect();
     for (number, client) in holding.iter_mut().enumerate() {
         // The rest of the body is still to come, so that its permits are held and nothing has been decided.
-        client.say(&head(&format!("holds{number}"), 40_000, 3_000));
-        client.say(&[b'x'; 30_000]);
+        client.send(&head(&format!("holds{number}"), 40_000, 3_000));
+        client.send(&[b'x'; 30_000]);
     }
     // Once this is answered those permits are held, as the proxy has read what came before.
     let mut asks = proxy.client();
-    asks.say(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert_eq!(asks.heard().status(), 200);
+    asks.send(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
+    assert_eq!(asks.receive().status(), 200);
     let mut late = proxy.client();
     let sent = Instant::now();
-    late.say(&head("late", 20_000, 1_000));
-    late.say(&[b'x'; 20_000]);
-    let heard = late.heard();
-    assert_eq!((heard.status(), heard.header("connection")), (503, Some("close")));
-    assert!(heard.header("retry-after").is_some() && sent.elapsed() < Duration::from_millis(900));
+    late.send(&head("late", 20_000, 1_000));
+    late.send(&[b'x'; 20_000]);
+    let response = late.receive();
+    assert_eq!((response.status(), response.header("connection")), (503, Some("close")));
+    assert!(response.header("retry-after").is_some() && sent.elapsed() < Duration::from_millis(900));
     assert!(backend.is_quiet());
     // A body that waited for memory has that much less time left.
     let mut waits = proxy.client();
     let sent = Instant::now();
-    waits.say(&head("waits", 20_000, 2_000));
-    waits.say(&[b'x'; 20_000]);
+    waits.send(&head("waits", 20_000, 2_000));
+    waits.send(&[b'x'; 20_000]);
     // The time itself must pass here.
     std::thread::sleep(Duration::from_millis(300));
-    holding[0].say(&[b'x'; 10_000]);
+    holding[0].send(&[b'x'; 10_000]);
     backend.next().answer(200, "", "ok");
-    assert_eq!(holding[0].heard().status(), 200);
+    assert_eq!(holding[0].receive().status(), 200);
     let freed = sent.elapsed();
-    let mut asked = backend.next();
-    let left = asked.message.header("x-deadline").and_then(|left| left.strip_suffix('u')).expect("told");
+    let mut request = backend.next();
+    let left = request.message.header("x-deadline").and_then(|left| left.strip_suffix('u')).expect("told");
     let left = Duration::from_micros(left.parse().expect("a number"));
     assert!(left <= Duration::from_millis(2_010) - freed.min(Duration::from_millis(300)), "{left:?}");
-    asked.answer(200, "", "ok");
-    assert_eq!(waits.heard().status(), 200);
+    request.answer(200, "", "ok");
+    assert_eq!(waits.receive().status(), 200);
 }
 
 #[test]
@@ -511,12 +516,12 @@
         let proxy = scope.spawn(|| Proxy::start(&configured));
         let mut watch = discovery.next();
         assert!(std::net::TcpStream::connect(listen).is_err(), "it accepts already");
-        watch.say(&list(50, true, vec![instance("s-0", backend.address, "SERVING")]).to_string());
+        watch.send(&list(50, true, vec![instance("s-0", backend.address, "SERVING")]).to_string());
         let proxy = proxy.join().expect("it starts");
         let mut client = proxy.client();
-        client.ask("pay", "first", 2_000);
+        client.send_query("pay", "first", 2_000);
         backend.next().answer(200, "", "ok");
-        assert_eq!(client.heard().status(), 200);
+        assert_eq!(client.receive().status(), 200);
     });
     // If discovery is unreachable, the proxy still starts in the end.
     configured["discovery"] = json!(refusing_address().to_string());
@@ -524,7 +529,7 @@
     let proxy = Proxy::start(&configured);
     assert!(started.elapsed() < Duration::from_secs(10), "{:?}", started.elapsed());
     let mut client = proxy.client();
-    client.ask("pay", "none", 2_000);
-    let heard = client.heard();
-    assert!(heard.status() == 503 && heard.header("retry-after").is_some(), "{}", heard.head);
+    client.send_query("pay", "none", 2_000);
+    let response = client.receive();
+    assert!(response.status() == 503 && response.header("retry-after").is_some(), "{}", response.head);
 }
--- a/crates/proxy/tests/sockets/random.rs
+++ b/crates/proxy/tests/sockets/random.rs
@@ -14,18 +14,18 @@
 fn backend(seed: u64, record: Record) -> std::net::SocketAddr {
     let rng = Mutex::new(fastrand::Rng::with_seed(seed));
     let silent = Mutex::new(Vec::new());
-    Backend::answering(move |asked| {
-        let id = asked.message.header("x-request-id").expect("every query has one").to_owned();
+    Backend::answering(move |request| {
+        let id = request.message.header("x-request-id").expect("every query has one").to_owned();
         let draw = rng.lock().expect("one at a time").u8(0..20);
         record.lock().expect("whole").entry(id.clone()).or_default().push((14..17).contains(&draw));
         match draw {
-            0..=11 => asked.answer(200, "X-Load: inflight=1\r\n", &id),
-            12 => asked.answer(500, "", ""),
-            13 => asked.answer(503, "", ""),
-            14..=16 => asked.answer(503, "X-Not-Run: 1\r\n", ""),
-            17 => asked.break_off(),
-            18 => asked.answer_half(),
-            _ => silent.lock().expect("one at a time").push(asked.message.head.len()),
+            0..=11 => request.answer(200, "X-Load: inflight=1\r\n", &id),
+            12 => request.answer(500, "", ""),
+            13 => request.answer(503, "", ""),
+            14..=16 => request.answer(503, "X-Not-Run: 1\r\n", ""),
+            17 => request.break_off(),
+            18 => request.answer_half(),
+            _ => silent.lock().expect("one at a time").push(request.message.head.len()),
         }
     })
 }
@@ -37,8 +37,8 @@
         let (id, wait_ms) = (format!("{seed:x}-{client}-{number}"), rng.u64(150..400));
         let kind = ["read", "pay", "move"][rng.usize(0..3)];
         let sent = Instant::now();
-        connection.ask(kind, &id, wait_ms);
-        let heard = connection.hear().ok_or(format!("{id} has no answer"))?;
+        connection.send_query(kind, &id, wait_ms);
+        let response = connection.try_receive().ok_or(format!("{id} has no answer"))?;
         let late = sent.elapsed().saturating_sub(Duration::from_millis(wait_ms));
         // Timing is measured by the benchmark; here a busy machine must not fail a correct run.
         if late > Duration::from_millis(300) {
@@ -47,8 +47,8 @@
         let executions = || record.lock().expect("whole").get(&id).cloned().unwrap_or_default();
         let ran = executions();
         let may_have_run = ran.iter().filter(|never| !**never).count();
-        let broken = match (kind, heard.status()) {
-            (_, 200) if heard.body != id.as_bytes() => Some("has another's answer"),
+        let broken = match (kind, response.status()) {
+            (_, 200) if response.body != id.as_bytes() => Some("has another's answer"),
             ("pay", _) if may_have_run > 1 => Some("may have two effects"),
             ("pay", _) if ran.iter().rev().skip(1).any(|never| !never) => {
                 Some("went on after it may have run")
@@ -58,7 +58,7 @@
             _ => Some("has too many executions or an answer of no known kind"),
         };
         if let Some(broken) = broken {
-            return Err(format!("{id} ({kind}) {broken}: {} after {ran:?}", heard.start()));
+            return Err(format!("{id} ({kind}) {broken}: {} after {ran:?}", response.start()));
         }
         if executions().len() > ran.len() {
             return Err(format!("{id} is executed after its answer"));
--- a/crates/proxy/tests/sockets/test_doubles.rs
+++ b/crates/proxy/tests/sockets/test_doubles.rs
@@ -67,13 +67,13 @@
         let _ = self.stream.write_all((head + body).as_bytes());
     }
 
-    pub fn say(&mut self, bytes: &[u8]) {
+    pub fn send(&mut self, bytes: &[u8]) {
         let _ = self.stream.write_all(bytes);
     }
 
     /// Sends a truncated response.
     pub fn answer_half(&mut self) {
-        self.say(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
+        self.send(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
         self.break_off();
     }
 
@@ -98,16 +98,16 @@
 
 pub struct Backend {
     pub address: SocketAddr,
-    pub asked: Receiver<ReceivedRequest>,
+    pub requests: Receiver<ReceivedRequest>,
     /// Numbers of the connections that the proxy has closed.
     pub closed: Receiver<usize>,
 }
 
-fn read_requests(number: usize, stream: TcpStream, asked: Sender<ReceivedRequest>, closed: Sender<usize>) {
+fn read_requests(number: usize, stream: TcpStream, requests: Sender<ReceivedRequest>, closed: Sender<usize>) {
     let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
     while let Some(message) = Message::read(&mut reader) {
         let stream = stream.try_clone().expect("a second handle");
-        if asked.send(ReceivedRequest { message, connection: number, stream }).is_err() {
+        if requests.send(ReceivedRequest { message, connection: number, stream }).is_err() {
             return;
         }
     }
@@ -121,31 +121,31 @@
 
     fn serving(listener: TcpListener) -> Self {
         let address = listener.local_addr().expect("bound");
-        let ((asks, asked), (closes, closed)) = (channel(), channel());
+        let ((request_sender, requests), (closes, closed)) = (channel(), channel());
         std::thread::spawn(move || {
             for (number, stream) in listener.incoming().flatten().enumerate() {
-                let (asks, closes) = (asks.clone(), closes.clone());
-                std::thread::spawn(move || read_requests(number, stream, asks, closes));
+                let (request_sender, closes) = (request_sender.clone(), closes.clone());
+                std::thread::spawn(move || read_requests(number, stream, request_sender, closes));
             }
         });
-        Backend { address, asked, closed }
+        Backend { address, requests, closed }
     }
 
     /// A backend that handles every request with `with`.
     pub fn answering(with: impl Fn(&mut ReceivedRequest) + Send + 'static) -> SocketAddr {
         let backend = Backend::start();
         let address = backend.address;
-        std::thread::spawn(move || backend.asked.iter().for_each(|mut asked| with(&mut asked)));
+        std::thread::spawn(move || backend.requests.iter().for_each(|mut request| with(&mut request)));
         address
     }
 
     pub fn next(&self) -> ReceivedRequest {
-        self.asked.recv_timeout(PATIENCE).expect("a request reaches the backend")
+        self.requests.recv_timeout(PATIENCE).expect("a request reaches the backend")
     }
 
     /// Whether no further request has arrived. Anything the proxy sent before its response to the client has.
     pub fn is_quiet(&self) -> bool {
-        self.asked.try_recv().is_err()
+        self.requests.try_recv().is_err()
     }
 }
 
@@ -153,8 +153,8 @@
 pub fn next_of(backends: &[&Backend]) -> ReceivedRequest {
     let until = Instant::now() + PATIENCE;
     loop {
-        if let Some(asked) = backends.iter().find_map(|backend| backend.asked.try_recv().ok()) {
-            return asked;
+        if let Some(request) = backends.iter().find_map(|backend| backend.requests.try_recv().ok()) {
+            return request;
         }
         assert!(Instant::now() < until, "a request reaches a backend");
         std::thread::yield_now();
@@ -173,27 +173,27 @@
 }
 
 pub struct Watch {
-    pub asked: String,
+    pub request: String,
     stream: TcpStream,
     reader: BufReader<TcpStream>,
 }
 
 impl Watch {
     /// Sends the single line of a call that is not a watch; then the connection accepts another call.
-    pub fn tell(mut self, line: &str) -> Watch {
-        self.say(line);
+    pub fn respond(mut self, line: &str) -> Watch {
+        self.send(line);
         let _ = self.stream.write_all(b"0\r\n\r\n");
-        Watch::asked(self.reader)
+        Watch::accept(self.reader)
     }
 
-    fn asked(mut reader: BufReader<TcpStream>) -> Watch {
+    fn accept(mut reader: BufReader<TcpStream>) -> Watch {
         let message = Message::read(&mut reader).expect("the proxy asks");
         let mut stream = reader.get_ref().try_clone().expect("a second handle");
         let _ = write!(stream, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        Watch { asked: message.start().to_owned(), stream, reader }
+        Watch { request: message.start().to_owned(), stream, reader }
     }
 
-    pub fn say(&mut self, line: &str) {
+    pub fn send(&mut self, line: &str) {
         let _ = write!(self.stream, "{:x}\r\n{line}\n\r\n", line.len() + 1);
     }
 
@@ -218,7 +218,7 @@
         let (opens, watches) = channel();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                if opens.send(Watch::asked(BufReader::new(stream))).is_err() {
+                if opens.send(Watch::accept(BufReader::new(stream))).is_err() {
                     return;
                 }
             }
@@ -345,7 +345,7 @@
         });
         let mut proxy =
             Proxy { address: refusing_address(), admin: refusing_address(), child, log, configured };
-        let line = proxy.logged("code=\"listening\"");
+        let line = proxy.wait_for_log("code=\"listening\"");
         proxy.address = logged_address(&line, "listen");
         if configuration.get("admin_addr").is_some() {
             proxy.admin = logged_address(&line, "admin");
@@ -365,7 +365,7 @@
     }
 
     /// Waits for the next log line that contains `text`.
-    pub fn logged(&self, text: &str) -> String {
+    pub fn wait_for_log(&self, text: &str) -> String {
         let until = Instant::now() + PATIENCE;
         loop {
             let left = until.saturating_duration_since(Instant::now());
@@ -383,7 +383,7 @@
     /// Makes a call at the second address; returns an empty string if the connection ends without a response.
     pub fn call(&self, call: &str) -> String {
         let mut caller = self.caller();
-        caller.say(call.as_bytes());
+        caller.send(call.as_bytes());
         caller.line()
     }
 
@@ -450,7 +450,7 @@
         Client { stream: BufReader::new(stream) }
     }
 
-    pub fn say(&mut self, bytes: &[u8]) {
+    pub fn send(&mut self, bytes: &[u8]) {
         let _ = self.stream.get_mut().write_all(bytes);
     }
 
@@ -475,14 +475,14 @@
     }
 
     /// Sends without reading responses, until the proxy stops reading as well.
-    pub fn say_and_never_read(&mut self, bytes: &[u8]) {
+    pub fn send_without_reading(&mut self, bytes: &[u8]) {
         let stream = self.stream.get_mut();
         stream.set_write_timeout(Some(Duration::from_millis(500))).expect("a time-out");
         assert!(stream.write_all(bytes).is_err(), "the buffers between hold it all");
     }
 
     /// Sends a query with the given id.
-    pub fn ask(&mut self, workload: &str, id: &str, wait_ms: u64) {
+    pub fn send_query(&mut self, workload: &str, id: &str, wait_ms: u64) {
         let method = if workload == "read" { "GET" } else { "POST" };
         let length = match workload {
             "read" => "",
@@ -491,7 +491,7 @@
         };
         let body = if workload == "read" { "" } else { "ok" };
         let head = format!("{method} /{workload}/x HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: {id}\r\n");
-        self.say(format!("{head}X-Deadline: {wait_ms}m\r\nX-Tenant: acme\r\n{length}\r\n{body}").as_bytes());
+        self.send(format!("{head}X-Deadline: {wait_ms}m\r\nX-Tenant: acme\r\n{length}\r\n{body}").as_bytes());
     }
 
     pub fn line(&mut self) -> String {
@@ -521,12 +521,12 @@
     }
 
     /// None if the proxy has closed the connection.
-    pub fn hear(&mut self) -> Option<Message> {
+    pub fn try_receive(&mut self) -> Option<Message> {
         Message::read(&mut self.stream)
     }
 
-    pub fn heard(&mut self) -> Message {
-        self.hear().expect("an answer")
+    pub fn receive(&mut self) -> Message {
+        self.try_receive().expect("an answer")
     }
 }
 
--- a/crates/proxy/tests/unit/discovery.rs
+++ b/crates/proxy/tests/unit/discovery.rs
@@ -24,15 +24,22 @@
 }
 
 /// A Discovery of a single proxy that knows no backend.
-fn discovery(wanted: &Arc<Notify>) -> Discovery {
+fn discovery(list_requested: &Arc<Notify>) -> Discovery {
     let settings = serde_json::json!({"Balancers": 1, "Discovery": "subscribe", "Workloads": []});
     let balancer = crankpick_launch::balancer(7, &settings).expect("sound");
     let peers = Arc::new(crate::peers::Peers::new(None, vec![]).expect("none"));
     let pool = Arc::new(crate::bodies::Pool::new(0));
     let backends = Arc::new(Backends::new(9, pool, WATCH_TIMEOUT, WATCH_TIMEOUT, None));
     let path = axum::http::Uri::from_static("/");
-    let balancer =
-        BalancerHandle::new(balancer, 4, Arc::clone(wanted), peers, Arc::clone(&backends), path, None);
+    let balancer = BalancerHandle::new(
+        balancer,
+        4,
+        Arc::clone(list_requested),
+        peers,
+        Arc::clone(&backends),
+        path,
+        None,
+    );
     Discovery::new(balancer, backends, vec![], Arc::default(), false, false, 1)
 }
 
@@ -76,11 +83,11 @@
     let new = listener.local_addr().expect("bound");
     for turn in 0..30 {
         let (moves, address) = watch::channel("127.0.0.1:9".parse().expect("an address"));
-        let wanted = Arc::new(Notify::new());
-        let discovery = discovery(&wanted);
-        let follow = discovery.follow(address, Arc::clone(&wanted));
+        let list_requested = Arc::new(Notify::new());
+        let discovery = discovery(&list_requested);
+        let follow = discovery.follow(address, Arc::clone(&list_requested));
         moves.send_replace(new);
-        wanted.notify_one();
+        list_requested.notify_one();
         let follow = tokio::spawn(follow);
         let (stream, _) = listener.accept().await.expect("it asks there");
         let mut line = String::new();
--- a/crates/proxy/tests/unit/query.rs
+++ b/crates/proxy/tests/unit/query.rs
@@ -19,12 +19,12 @@
     balancer.list(true, &[Listed { backend: 1, phase: Phase::Ready, weight: 1.0, ..Listed::default() }]);
     for turn in 0..50 {
         let id = turn.to_string();
-        let mut decided = balancer.query(&id, 0, 0, 5_000_000, None, false).ok().expect("taken");
-        let first = decided.try_recv();
+        let mut decisions = balancer.query(&id, 0, 0, 5_000_000, None, false).ok().expect("taken");
+        let first = decisions.try_recv();
         assert!(matches!(first, Ok(Decision::Execute { .. })), "turn {turn}: {first:?}");
         // As if the decision were still on its way to the query's task.
-        let (late, decided) = mpsc::channel(9);
+        let (late, decisions) = mpsc::channel(9);
         late.try_send(first.expect("there")).expect("room");
-        drop(ActiveQuery::new(Arc::clone(&balancer), id, decided));
+        drop(ActiveQuery::new(Arc::clone(&balancer), id, decisions));
     }
 }
