--- a/crates/proxy/src/backends.rs
+++ b/crates/proxy/src/backends.rs
@@ -337,11 +337,11 @@
     uri.scheme = Some(Scheme::HTTP);
     // The client pools connections by authority: with the backend's number in it, a connection is never reused
     // for another backend at the same address.
-    let endpoint = match new_connection {
+    let authority = match new_connection {
         Some(number) => format!("{backend}-{number}@{address}"),
         None => format!("{backend}@{address}"),
     };
-    uri.authority = Some(Authority::try_from(endpoint).ok()?);
+    uri.authority = Some(Authority::try_from(authority).ok()?);
     let mut request = Request::new(body);
     *request.method_mut() = head.method.clone();
     *request.uri_mut() = Uri::from_parts(uri).ok()?;
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -18,7 +18,7 @@
 /// Connections opened later than that get this long, as clients send their first request at once.
 const MIN_OPEN: Duration = Duration::from_millis(250);
 
-/// The lifecycle state and the time it was entered.
+/// The lifecycle state; a process that no longer serves knows since when.
 #[derive(Clone, Copy, Debug)]
 pub enum Lifecycle {
     Serving,
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -103,9 +103,8 @@
     address(&config, "listen")?;
     address(&config, "discovery")?;
     probe_path(&config)?;
-    let is_zero = |discovery_address: &Value, name: &str| {
-        discovery_address.get(name).is_some_and(|value| value.as_u64() == Some(0))
-    };
+    let is_zero =
+        |object: &Value, name: &str| object.get(name).is_some_and(|value| value.as_u64() == Some(0));
     if is_zero(&settings["Limits"], "MaxExecutions") {
         return Err("Limits.MaxExecutions in the settings: must not be 0".into());
     }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -181,9 +181,9 @@
     );
     let known: List = at(&config, "known")?;
     discovery.load_known(&known).map_err(|error| format!("known: {error}"))?;
-    let (discovery_address, prefix) = watch::channel(address(&config, "discovery")?);
+    let (discovery_address, address_changes) = watch::channel(address(&config, "discovery")?);
     let mut received = discovery.received();
-    tokio::spawn(discovery.follow(prefix, list_requested));
+    tokio::spawn(discovery.follow(address_changes, list_requested));
     let balancer_for_peers = Arc::clone(&balancer);
     tokio::spawn(peers.listen(move |peer, note| balancer_for_peers.notify(|inbox| inbox.told(peer, note))));
     tokio::spawn(Arc::clone(&backends).share_with(others.clone(), executions));
