--- a/crates/gateway/src/backend_stream.rs
+++ b/crates/gateway/src/backend_stream.rs
@@ -9,7 +9,7 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-use crankpick_http::stall::Stall;
+use crankpick_http::write_timeout::WriteTimeout;
 use socket2::SockRef;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
@@ -47,13 +47,13 @@
 /// The byte stream of a backend connection.
 pub(crate) struct BackendStream {
     stream: TcpStream,
-    stall: Stall,
+    stall: WriteTimeout,
     link: Arc<LinkState>,
 }
 
 impl BackendStream {
     pub fn new(stream: TcpStream, link: Arc<LinkState>) -> Self {
-        BackendStream { stream, stall: Stall::new(WRITE_STALL_TIMEOUT), link }
+        BackendStream { stream, stall: WriteTimeout::new(WRITE_STALL_TIMEOUT), link }
     }
 
     /// Checks a reused connection before the first byte of a request: leftover data after the previous
@@ -76,7 +76,7 @@
         if matches!(written, Poll::Ready(Ok(1..))) {
             self.link.request_started.store(true, Ordering::Relaxed);
         }
-        self.stall.wrote(cx, written)
+        self.stall.check(cx, written)
     }
 }
 
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crankpick_http::fields::end_to_end;
-use crankpick_http::framing::Came;
+use crankpick_http::framing::ReceivedRequest;
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HeaderValue, CONTENT_LENGTH, EXPECT, TRANSFER_ENCODING};
 use hyper::http::request::Parts as RequestParts;
@@ -36,12 +36,13 @@
 pub(crate) async fn handle(
     shared: &Arc<Shared>,
     request: Request<Incoming>,
-    framing: Option<Came>,
+    framing: Option<ReceivedRequest>,
 ) -> Result<Response<ResponseBody>, Declined> {
-    let arrived = framing.and_then(|framing| framing.whole).unwrap_or_else(Instant::now);
+    let arrived = framing.and_then(|framing| framing.complete_at).unwrap_or_else(Instant::now);
     let (head, body) = request.into_parts();
     // Conflicting lengths can hide a second request in the body, and so can framing that was not tracked.
-    let ambiguous = framing.is_none_or(|framing| framing.two_lengths) || has_both_lengths(&head.headers);
+    let ambiguous =
+        framing.is_none_or(|framing| framing.conflicting_lengths) || has_both_lengths(&head.headers);
     if head.headers.contains_key(TRANSFER_ENCODING) && ambiguous {
         return Err(Refusal::Framing.into());
     }
--- a/crates/proxy/tests/sockets/random.rs
+++ b/crates/proxy/tests/sockets/random.rs
@@ -1,54 +1,54 @@
-//! Seeded random runs of the program: backends that answer, fail, turn away, break off or stay silent,
-//! and after every answer the record of what reached them is held against the rules.
+//! Seeded random runs of the proxy binary. Backends respond, fail, reject, disconnect or stay silent; after
+//! each response the requests that reached them are checked against the retry rules.
 
-use super::stand_ins::*;
+use super::test_doubles::*;
 use quickcheck::{Gen, QuickCheck};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What reached backends under an id: whether it surely never ran there.
+/// For each query id, whether each execution that reached a backend certainly did not run.
 type Record = Arc<Mutex<BTreeMap<String, Vec<bool>>>>;
 
 fn backend(seed: u64, record: Record) -> std::net::SocketAddr {
     let rng = Mutex::new(fastrand::Rng::with_seed(seed));
     let silent = Mutex::new(Vec::new());
-    Backend::answering(move |asked| {
-        let id = asked.message.header("x-request-id").expect("every query has one").to_owned();
+    Backend::answering(move |request| {
+        let id = request.message.header("x-request-id").expect("every query has one").to_owned();
         let draw = rng.lock().expect("one at a time").u8(0..20);
         record.lock().expect("whole").entry(id.clone()).or_default().push((14..17).contains(&draw));
         match draw {
-            0..=11 => asked.answer(200, "X-Load: inflight=1\r\n", &id),
-            12 => asked.answer(500, "", ""),
-            13 => asked.answer(503, "", ""),
-            14..=16 => asked.answer(503, "X-Not-Run: 1\r\n", ""),
-            17 => asked.break_off(),
-            18 => asked.answer_half(),
-            _ => silent.lock().expect("one at a time").push(asked.message.head.len()),
+            0..=11 => request.answer(200, "X-Load: inflight=1\r\n", &id),
+            12 => request.answer(500, "", ""),
+            13 => request.answer(503, "", ""),
+            14..=16 => request.answer(503, "X-Not-Run: 1\r\n", ""),
+            17 => request.break_off(),
+            18 => request.answer_half(),
+            _ => silent.lock().expect("one at a time").push(request.message.head.len()),
         }
     })
 }
 
-/// One client's queries, one after the other; what it heard against what the backends saw.
+/// Sends one client's queries in sequence and checks each response against what the backends received.
 fn play(mut connection: Client, record: &Record, client: usize, seed: u64) -> Result<(), String> {
     let mut rng = fastrand::Rng::with_seed(seed.wrapping_add(client as u64));
     for number in 0..25 {
         let (id, wait_ms) = (format!("{seed:x}-{client}-{number}"), rng.u64(150..400));
         let kind = ["read", "pay", "move"][rng.usize(0..3)];
         let sent = Instant::now();
-        connection.ask(kind, &id, wait_ms);
-        let heard = connection.hear().ok_or(format!("{id} has no answer"))?;
+        connection.send_query(kind, &id, wait_ms);
+        let response = connection.try_receive().ok_or(format!("{id} has no answer"))?;
         let late = sent.elapsed().saturating_sub(Duration::from_millis(wait_ms));
-        // The bench holds it to the millisecond; here a busy machine must not fail what is sound.
+        // Timing is measured by the benchmark; here a busy machine must not fail a correct run.
         if late > Duration::from_millis(300) {
             return Err(format!("{id} is answered {late:?} late"));
         }
         let executions = || record.lock().expect("whole").get(&id).cloned().unwrap_or_default();
         let ran = executions();
         let may_have_run = ran.iter().filter(|never| !**never).count();
-        let broken = match (kind, heard.status()) {
-            (_, 200) if heard.body != id.as_bytes() => Some("has another's answer"),
+        let broken = match (kind, response.status()) {
+            (_, 200) if response.body != id.as_bytes() => Some("has another's answer"),
             ("pay", _) if may_have_run > 1 => Some("may have two effects"),
             ("pay", _) if ran.iter().rev().skip(1).any(|never| !never) => {
                 Some("went on after it may have run")
@@ -58,7 +58,7 @@
             _ => Some("has too many executions or an answer of no known kind"),
         };
         if let Some(broken) = broken {
-            return Err(format!("{id} ({kind}) {broken}: {} after {ran:?}", heard.start()));
+            return Err(format!("{id} ({kind}) {broken}: {} after {ran:?}", response.start()));
         }
         if executions().len() > ran.len() {
             return Err(format!("{id} is executed after its answer"));
@@ -70,9 +70,9 @@
 fn run(seed: u64) -> Result<(), String> {
     let (discovery, record) = (Discovery::start(), Record::default());
     let addresses: Vec<_> = (0..3).map(|n| backend(seed.wrapping_add(n), Arc::clone(&record))).collect();
-    let mut told = configuration(&discovery, &[&addresses[..], &[refusing_address()]].concat());
-    told["seed"] = json!(format!("{seed:x}"));
-    let proxy = Proxy::start(&told);
+    let mut configured = configuration(&discovery, &[&addresses[..], &[refusing_address()]].concat());
+    configured["seed"] = json!(format!("{seed:x}"));
+    let proxy = Proxy::start(&configured);
     std::thread::scope(|scope| {
         let (proxy, record) = (&proxy, &record);
         let play = |client: usize| {
--- a/crates/proxy/tests/unit/discovery.rs
+++ b/crates/proxy/tests/unit/discovery.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 fn objects(text: &str) -> Result<Vec<u64>, String> {
-    let (mut object, mut read) = (Object::default(), Vec::new());
+    let (mut object, mut read) = (ObjectParser::default(), Vec::new());
     for byte in text.bytes() {
-        if object.takes(byte)? {
-            read.push(understood(&std::mem::take(&mut object).text)?.generation);
+        if object.push(byte)? {
+            read.push(parse_list(&std::mem::take(&mut object).text)?.generation);
         }
     }
     Ok(read)
@@ -18,24 +18,32 @@
     assert_eq!(objects(&format!("{plain}{indented}{plain}")), Ok(vec![41, 42, 41]));
     assert_eq!(objects("{\"generation\":1}{\"generation\":2}"), Ok(vec![1, 2]));
     assert_eq!(objects("{\"generation\":1"), Ok(vec![]), "not whole yet");
-    for wrong in ["x", "}", "[1]", "{\"generation\":]}"] {
-        assert!(objects(wrong).is_err(), "{wrong}");
+    for error in ["x", "}", "[1]", "{\"generation\":]}"] {
+        assert!(objects(error).is_err(), "{error}");
     }
 }
 
-/// One of a proxy that is alone and knows no backend.
-fn discovery(wanted: &Arc<Notify>) -> Discovery {
+/// A Discovery of a single proxy that knows no backend.
+fn discovery(list_requested: &Arc<Notify>) -> Discovery {
     let settings = serde_json::json!({"Balancers": 1, "Discovery": "subscribe", "Workloads": []});
     let balancer = crankpick_launch::balancer(7, &settings).expect("sound");
     let peers = Arc::new(crate::peers::Peers::new(None, vec![]).expect("none"));
     let pool = Arc::new(crate::bodies::Pool::new(0));
-    let backends = Arc::new(Backends::new(9, pool, SILENT, SILENT, None));
+    let backends = Arc::new(Backends::new(9, pool, WATCH_TIMEOUT, WATCH_TIMEOUT, None));
     let path = axum::http::Uri::from_static("/");
-    let decide = Decide::new(balancer, 4, Arc::clone(wanted), peers, Arc::clone(&backends), path, None);
-    Discovery::new(decide, backends, vec![], Arc::default(), false, false, 1)
+    let balancer = BalancerHandle::new(
+        balancer,
+        4,
+        Arc::clone(list_requested),
+        peers,
+        Arc::clone(&backends),
+        path,
+        None,
+    );
+    Discovery::new(balancer, backends, vec![], Arc::default(), false, false, 1)
 }
 
-/// How a call ends which is answered with `answer` and then closed.
+/// How a watch ends if the response is `answer` and the connection is then closed.
 async fn ended_after(answer: &'static [u8]) -> Failure {
     use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
@@ -47,11 +55,12 @@
         while stream.read_line(&mut line).await.expect("its head") > 2 {}
         stream.write_all(answer).await.expect("it reads");
     });
-    let Err(lost) = discovery(&Arc::default()).watch(address).await;
-    lost.failure
+    let Err(error) = discovery(&Arc::default()).watch(address).await;
+    error.failure
 }
 
-/// A 503 and an answer that ends before it told anything cost discovery work and come at once; nobody there is silence.
+/// A 503 and a response that ends before any update show that discovery is overloaded and fail at once; an
+/// unreachable address counts as silence.
 #[tokio::test]
 async fn refusals_and_silence_are_told_apart() {
     let no = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
@@ -61,29 +70,29 @@
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let nobody = listener.local_addr().expect("bound");
     drop(listener);
-    let Err(lost) = discovery(&Arc::default()).watch(nobody).await;
-    assert_eq!(lost.failure, Failure::Silent);
+    let Err(error) = discovery(&Arc::default()).watch(nobody).await;
+    assert_eq!(error.failure, Failure::Silent);
 }
 
-/// A signal that moves discovery and the time to ask again may come at once: then the new place is asked for the
-/// whole list all the same, as its versions may have begun anew.
+/// A change of the discovery address and the next call may be due at the same time. The new address must then
+/// be asked for the full list, as its generations may have restarted.
 #[tokio::test]
 async fn a_move_is_not_missed_where_it_comes_with_the_time_to_ask_again() {
     use tokio::io::{AsyncBufReadExt, BufReader};
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let new = listener.local_addr().expect("bound");
     for turn in 0..30 {
-        let (moves, place) = watch::channel("127.0.0.1:9".parse().expect("an address"));
-        let wanted = Arc::new(Notify::new());
-        let discovery = discovery(&wanted);
-        let follows = discovery.follow(place, Arc::clone(&wanted));
+        let (moves, address) = watch::channel("127.0.0.1:9".parse().expect("an address"));
+        let list_requested = Arc::new(Notify::new());
+        let discovery = discovery(&list_requested);
+        let follow = discovery.follow(address, Arc::clone(&list_requested));
         moves.send_replace(new);
-        wanted.notify_one();
-        let follows = tokio::spawn(follows);
+        list_requested.notify_one();
+        let follow = tokio::spawn(follow);
         let (stream, _) = listener.accept().await.expect("it asks there");
         let mut line = String::new();
         BufReader::new(stream).read_line(&mut line).await.expect("a call");
         assert_eq!(line, "GET /api/targets HTTP/1.1\r\n", "turn {turn}");
-        follows.abort();
+        follow.abort();
     }
 }
