--- a/crates/proxy/src/backends.rs
+++ b/crates/proxy/src/backends.rs
@@ -283,7 +283,7 @@
         let value = value.trim().parse().ok().filter(|value: &f64| value.is_finite() && *value >= 0.0);
         match name.trim() {
             "util" => report.utilisation = value,
-            "inflight" => report.held = value,
+            "inflight" => report.in_flight = value,
             "eps" => report.errors_per_s = value,
             _ => {}
         }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -171,7 +171,7 @@
     let mut heard = discovery.heard();
     tokio::spawn(discovery.follow(place, list_wanted));
     let told_by_peers = Arc::clone(&decide);
-    tokio::spawn(peers.listen(move |peer, note| told_by_peers.news(|inbox| inbox.told(peer, note))));
+    tokio::spawn(peers.listen(move |peer, note| told_by_peers.news(|inbox| inbox.peer_note(peer, note))));
     tokio::spawn(Arc::clone(&backends).leave_room(others.clone(), executions));
     for pool in [&bodies, &answers] {
         tokio::spawn(Arc::clone(pool).leave_room(others.clone()));
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -19,12 +19,12 @@
 /// Any input message; which fields are required depends on `m`.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct Line {
+struct InputMessage {
     #[serde(rename = "m")]
     message: String,
     sim_time_us: Option<u64>,
     #[serde(rename = "turn")]
-    turn: Option<u64>,
+    batch: Option<u64>,
     proxy: Option<u64>,
     salt: Option<u64>,
     conf: Option<Value>,
@@ -63,18 +63,18 @@
 }
 
 /// One instance and its messages of the current batch.
-struct Hosted {
+struct Instance {
     balancer: Balancer,
-    pending: Vec<Line>,
+    pending: Vec<InputMessage>,
 }
 
 /// The value of a required field.
-fn need<T>(field: Option<T>, message: &str, name: &str) -> Result<T, String> {
+fn require<T>(field: Option<T>, message: &str, name: &str) -> Result<T, String> {
     field.ok_or_else(|| format!("{message} without {name}"))
 }
 
 /// The query id in `Ref`.
-fn query_reference(line: &Line) -> Result<&str, String> {
+fn query_reference(line: &InputMessage) -> Result<&str, String> {
     match &line.reference {
         Some(Value::String(text)) => Ok(text),
         Some(_) => Err(format!("{}: Ref is not a string", line.message)),
@@ -83,13 +83,13 @@
 }
 
 /// The list number in `Ref`.
-fn list_number(line: &Line) -> Result<u64, String> {
-    let number = need(line.reference.as_ref(), &line.message, "Ref")?;
+fn list_number(line: &InputMessage) -> Result<u64, String> {
+    let number = require(line.reference.as_ref(), &line.message, "Ref")?;
     number.as_u64().ok_or_else(|| format!("{}: Ref is not a list number", line.message))
 }
 
 /// Translates a result code.
-fn ended(code: u32) -> Result<Ended, String> {
+fn parse_result_code(code: u32) -> Result<Ended, String> {
     Ok(match code {
         200 => Ended::Completed,
         502 => Ended::Errored,
@@ -106,43 +106,43 @@
 fn load_report(gauge: &Option<Gauge>) -> Option<LoadReport> {
     gauge.as_ref().map(|gauge| LoadReport {
         utilisation: gauge.busy,
-        held: gauge.rif,
+        in_flight: gauge.rif,
         errors_per_s: gauge.fail_rate,
     })
 }
 
 /// Passes one message to the module.
-fn dispatch(line: &Line, inbox: &mut Inbox) -> Result<(), String> {
+fn dispatch(line: &InputMessage, inbox: &mut Inbox) -> Result<(), String> {
     let message = line.message.as_str();
     match message {
         "Accept" => {
             let hinted = line.marks.unwrap_or(0) & 1 != 0;
-            let again = line.marks.unwrap_or(0) & 2 != 0;
+            let is_retry = line.marks.unwrap_or(0) & 2 != 0;
             let id = query_reference(line)?;
-            let workload = need(line.workload, message, "Type")?;
-            let ttl_us = need(line.ttl_us, message, "TtlUs")?;
+            let workload = require(line.workload, message, "Type")?;
+            let ttl_us = require(line.ttl_us, message, "TtlUs")?;
             let hint_us = line.weight_hint_us.filter(|_| hinted);
             inbox
-                .query(id, workload, line.tenant.unwrap_or(0), ttl_us, hint_us, again)
-                .map_err(|wrong| format!("{message}: {wrong}"))
+                .query(id, workload, line.tenant.unwrap_or(0), ttl_us, hint_us, is_retry)
+                .map_err(|error| format!("{message}: {error}"))
         }
         "Answer" => {
-            need(line.backend, message, "Backend")?;
+            require(line.backend, message, "Backend")?;
             inbox.outcome(
                 query_reference(line)?,
-                need(line.attempt, message, "Attempt")?,
-                ended(need(line.rc, message, "Rc")?)?,
-                need(line.duration_us, message, "DurationUs")?,
+                require(line.attempt, message, "Attempt")?,
+                parse_result_code(require(line.rc, message, "Rc")?)?,
+                require(line.duration_us, message, "DurationUs")?,
                 line.done_flag.unwrap_or(false),
                 load_report(&line.gauge),
             );
             Ok(())
         }
         "Begun" => {
-            need(line.backend, message, "Backend")?;
-            need(line.duration_us, message, "DurationUs")?;
-            need(line.attempt, message, "Attempt")?;
-            inbox.begun(query_reference(line)?);
+            require(line.backend, message, "Backend")?;
+            require(line.duration_us, message, "DurationUs")?;
+            require(line.attempt, message, "Attempt")?;
+            inbox.response_started(query_reference(line)?);
             Ok(())
         }
         "Withdrawn" => {
@@ -150,21 +150,21 @@
             Ok(())
         }
         "Reminder" => {
-            inbox.timer_fired(need(line.ctx.as_deref(), message, "Ctx")?);
+            inbox.timer_fired(require(line.ctx.as_deref(), message, "Ctx")?);
             Ok(())
         }
         "ProbeDone" => {
             inbox.probe_outcome(
-                need(line.backend, message, "Backend")?,
-                ended(need(line.rc, message, "Rc")?)?,
-                need(line.duration_us, message, "DurationUs")?,
+                require(line.backend, message, "Backend")?,
+                parse_result_code(require(line.rc, message, "Rc")?)?,
+                require(line.duration_us, message, "DurationUs")?,
                 load_report(&line.gauge),
             );
             Ok(())
         }
         "NoteFrom" => {
-            let peer = need(line.neighbour, message, "Neighbour")?;
-            inbox.told(peer, need(line.bytes.as_deref(), message, "Bytes")?);
+            let peer = require(line.neighbour, message, "Neighbour")?;
+            inbox.peer_note(peer, require(line.bytes.as_deref(), message, "Bytes")?);
             Ok(())
         }
         "Endpoints" => {
@@ -183,38 +183,38 @@
 /// All instances, and the numbered lists of backends that messages refer to.
 #[derive(Default)]
 struct Host {
-    instances: BTreeMap<u64, Hosted>,
-    directories: BTreeMap<u64, Rc<Vec<Listed>>>,
+    instances: BTreeMap<u64, Instance>,
+    lists: BTreeMap<u64, Rc<Vec<Listed>>>,
 }
 
 impl Host {
     /// Queues one message for its instance. Lists, launches and teardowns take effect immediately, in reading
     /// order.
-    fn enqueue(&mut self, mut line: Line) -> Result<(), String> {
+    fn enqueue(&mut self, mut line: InputMessage) -> Result<(), String> {
         if line.message == "Directory" {
-            let items = need(line.items.take(), "Directory", "Items")?;
+            let items = require(line.items.take(), "Directory", "Items")?;
             let items: Result<Vec<Listed>, String> = items.iter().map(Entry::listed).collect();
-            let items = items.map_err(|wrong| format!("Directory: {wrong}"))?;
-            self.directories.insert(list_number(&line)?, Rc::new(items));
+            let items = items.map_err(|error| format!("Directory: {error}"))?;
+            self.lists.insert(list_number(&line)?, Rc::new(items));
             return Ok(());
         }
-        let proxy = need(line.proxy, &line.message, "Proxy")?;
+        let proxy = require(line.proxy, &line.message, "Proxy")?;
         match line.message.as_str() {
             "Launch" => {
-                let salt = need(line.salt, "Launch", "Salt")?;
-                let conf = need(line.conf, "Launch", "Conf")?;
+                let salt = require(line.salt, "Launch", "Salt")?;
+                let conf = require(line.conf, "Launch", "Conf")?;
                 let balancer =
-                    crankpick_launch::balancer(salt, &conf).map_err(|wrong| format!("Launch: {wrong}"))?;
+                    crankpick_launch::balancer(salt, &conf).map_err(|error| format!("Launch: {error}"))?;
                 let pending = Vec::new();
-                self.instances.insert(proxy, Hosted { balancer, pending });
+                self.instances.insert(proxy, Instance { balancer, pending });
                 return Ok(());
             }
             "Endpoints" => {
-                let kind = need(line.kind.as_deref(), "Endpoints", "Kind")?;
-                need(line.gen, "Endpoints", "Gen")?;
+                let kind = require(line.kind.as_deref(), "Endpoints", "Kind")?;
+                require(line.gen, "Endpoints", "Gen")?;
                 if kind != "lost" {
                     let number = list_number(&line)?;
-                    let listed = self.directories.get(&number);
+                    let listed = self.lists.get(&number);
                     line.listed = Some(Rc::clone(
                         listed.ok_or_else(|| format!("Endpoints: no Directory {number} was sent"))?,
                     ));
@@ -222,26 +222,26 @@
             }
             _ => {}
         }
-        let hosted = self.instances.get_mut(&proxy);
-        let hosted =
-            hosted.ok_or_else(|| format!("{}: instance {proxy} was never launched", line.message))?;
+        let instance = self.instances.get_mut(&proxy);
+        let instance =
+            instance.ok_or_else(|| format!("{}: instance {proxy} was never launched", line.message))?;
         if line.message == "Teardown" {
             self.instances.remove(&proxy);
         } else {
-            hosted.pending.push(line);
+            instance.pending.push(line);
         }
         Ok(())
     }
 
     /// Runs one round of each instance that has messages, and appends the decisions to `reply`.
     fn run_rounds(&mut self, now_us: u64, reply: &mut Vec<u8>) -> Result<(), String> {
-        for (proxy, hosted) in &mut self.instances {
-            if hosted.pending.is_empty() {
+        for (proxy, instance) in &mut self.instances {
+            if instance.pending.is_empty() {
                 continue;
             }
             let mut writer = reply::Reply::new(*proxy, reply);
-            let lines = std::mem::take(&mut hosted.pending);
-            hosted.balancer.round(now_us, &mut writer, |inbox| {
+            let lines = std::mem::take(&mut instance.pending);
+            instance.balancer.round(now_us, &mut writer, |inbox| {
                 lines.iter().try_for_each(|line| dispatch(line, inbox))
             })?;
         }
@@ -250,18 +250,18 @@
 }
 
 /// Reads the next message, skipping empty lines; none at the end of the input.
-fn read_line(input: &mut impl BufRead, text: &mut String) -> Result<Option<Line>, String> {
+fn read_message(input: &mut impl BufRead, text: &mut String) -> Result<Option<InputMessage>, String> {
     loop {
         text.clear();
-        let length = input.read_line(text).map_err(|wrong| format!("input: {wrong}"))?;
+        let length = input.read_line(text).map_err(|error| format!("input: {error}"))?;
         if length == 0 {
             return Ok(None);
         }
         if !text.trim().is_empty() {
             let line = serde_json::from_str(text);
-            return line.map(Some).map_err(|wrong| {
+            return line.map(Some).map_err(|error| {
                 let start: String = text.trim().chars().take(80).collect();
-                format!("{wrong}, in {start}")
+                format!("{error}, in {start}")
             });
         }
     }
@@ -274,14 +274,14 @@
     let mut host = Host::default();
     let mut text = String::new();
     let mut reply = Vec::new();
-    while let Some(head) = read_line(&mut input, &mut text)? {
-        if head.message != "Batch" {
-            return Err(format!("expected Batch, got {:?}", head.message));
+    while let Some(first) = read_message(&mut input, &mut text)? {
+        if first.message != "Batch" {
+            return Err(format!("expected Batch, got {:?}", first.message));
         }
-        let now_us = need(head.sim_time_us, "Batch", "SimTimeUs")?;
-        let turn = need(head.turn, "Batch", "turn")?;
+        let now_us = require(first.sim_time_us, "Batch", "SimTimeUs")?;
+        let batch = require(first.batch, "Batch", "turn")?;
         loop {
-            let line = read_line(&mut input, &mut text)?.ok_or("input ended inside a batch")?;
+            let line = read_message(&mut input, &mut text)?.ok_or("input ended inside a batch")?;
             if line.message == "EofBatch" {
                 break;
             }
@@ -289,8 +289,8 @@
         }
         reply.clear();
         host.run_rounds(now_us, &mut reply)?;
-        reply::write_finished(turn, &mut reply);
-        output.write_all(&reply).and_then(|()| output.flush()).map_err(|wrong| format!("output: {wrong}"))?;
+        reply::write_finished(batch, &mut reply);
+        output.write_all(&reply).and_then(|()| output.flush()).map_err(|error| format!("output: {error}"))?;
     }
     Ok(())
 }
@@ -298,8 +298,8 @@
 fn main() -> ExitCode {
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(wrong) => {
-            eprintln!("crankpick-simhost: {}", wrong.replace('\n', " "));
+        Err(error) => {
+            eprintln!("crankpick-simhost: {}", error.replace('\n', " "));
             ExitCode::FAILURE
         }
     }
--- a/crates/simhost/src/reply.rs
+++ b/crates/simhost/src/reply.rs
@@ -12,7 +12,7 @@
 /// Any output message.
 #[derive(Serialize, Default)]
 #[serde(rename_all = "PascalCase")]
-struct Out<'a> {
+struct OutputMessage<'a> {
     #[serde(rename = "m")]
     message: &'a str,
     proxy: u64,
@@ -44,61 +44,76 @@
     }
 
     /// Appends one message.
-    fn write(&mut self, out: Out) {
-        let out = Out { proxy: self.proxy, ..out };
-        serde_json::to_writer(&mut *self.lines, &out).expect("plain text and numbers always serialise");
+    fn write(&mut self, message: OutputMessage) {
+        let message = OutputMessage { proxy: self.proxy, ..message };
+        serde_json::to_writer(&mut *self.lines, &message).expect("plain text and numbers always serialise");
         self.lines.push(b'\n');
     }
 }
 
 /// Appends the message that ends the reply to a batch.
-pub fn write_finished(turn: u64, lines: &mut Vec<u8>) {
-    let line = serde_json::json!({ "m": "Finished", "turn": turn });
+pub fn write_finished(batch: u64, lines: &mut Vec<u8>) {
+    let line = serde_json::json!({ "m": "Finished", "turn": batch });
     lines.extend_from_slice(line.to_string().as_bytes());
     lines.push(b'\n');
 }
 
 impl Writer for Reply<'_> {
     fn execute(&mut self, qry: &str, backend: u32, timeout_us: u64, _: u64) {
-        self.write(Out {
+        self.write(OutputMessage {
             message: "HandOff",
             qry: Some(qry),
             backend: Some(backend),
             give_up_after_us: Some(timeout_us),
-            ..Out::default()
+            ..OutputMessage::default()
         });
     }
 
     fn cancel(&mut self, qry: &str, execution: u32) {
-        self.write(Out { message: "Revoke", qry: Some(qry), attempt: Some(execution), ..Out::default() });
+        self.write(OutputMessage {
+            message: "Revoke",
+            qry: Some(qry),
+            attempt: Some(execution),
+            ..OutputMessage::default()
+        });
     }
 
     fn reject(&mut self, qry: &str, backoff_us: u64) {
-        self.write(Out {
+        self.write(OutputMessage {
             message: "OverloadReply",
             qry: Some(qry),
             backoff_us: Some(backoff_us),
-            ..Out::default()
+            ..OutputMessage::default()
         });
     }
 
     fn abort(&mut self, qry: &str) {
-        self.write(Out { message: "RespondError", qry: Some(qry), ..Out::default() });
+        self.write(OutputMessage { message: "RespondError", qry: Some(qry), ..OutputMessage::default() });
     }
 
     fn wake(&mut self, in_us: u64, token: &str) {
-        self.write(Out { message: "WakeAt", in_us: Some(in_us), ctx: Some(token), ..Out::default() });
+        self.write(OutputMessage {
+            message: "WakeAt",
+            in_us: Some(in_us),
+            ctx: Some(token),
+            ..OutputMessage::default()
+        });
     }
 
     fn subscribe(&mut self) {
-        self.write(Out { message: "Subscribe", want: Some(true), ..Out::default() });
+        self.write(OutputMessage { message: "Subscribe", want: Some(true), ..OutputMessage::default() });
     }
 
     fn probe(&mut self, backend: u32) {
-        self.write(Out { message: "SoundOut", backend: Some(backend), ..Out::default() });
+        self.write(OutputMessage { message: "SoundOut", backend: Some(backend), ..OutputMessage::default() });
     }
 
     fn send_note(&mut self, peer: u32, bytes: &str) {
-        self.write(Out { message: "Announce", recipient: Some(peer), bytes: Some(bytes), ..Out::default() });
+        self.write(OutputMessage {
+            message: "Announce",
+            recipient: Some(peer),
+            bytes: Some(bytes),
+            ..OutputMessage::default()
+        });
     }
 }
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -83,13 +83,13 @@
     pub fn round<E>(
         &mut self,
         now_us: u64,
-        out: &mut dyn Writer,
+        writer: &mut dyn Writer,
         feed: impl FnOnce(&mut Inbox) -> Result<(), E>,
     ) -> Result<(), E> {
         if std::mem::take(&mut self.must_subscribe) {
-            out.subscribe();
+            writer.subscribe();
         }
-        feed(&mut Inbox { balancer: self, out, now_us })?;
+        feed(&mut Inbox { balancer: self, writer, now_us })?;
         if now_us >= self.regroup_us {
             self.regroup(now_us);
         }
@@ -100,15 +100,15 @@
         self.set_maxima(now_us);
         // Only after all events: an execution that ended in this batch needs no hedged request.
         if !self.sweep_scheduled {
-            self.sweep(now_us, out);
+            self.sweep(now_us, writer);
         }
-        self.place_waiting(now_us, out);
+        self.place_waiting(now_us, writer);
         // If the timer has the longer interval and a query has begun to wait, a shorter one is set.
         if (!self.sweep_scheduled || self.idle_sweep && !self.waiting.is_empty()) && !self.queries.is_empty()
         {
             self.sweep_scheduled = true;
             self.idle_sweep = self.deployment.probes && self.waiting.is_empty();
-            out.wake(if self.idle_sweep { SWEEP_INTERVAL_US * 4 } else { SWEEP_INTERVAL_US }, "sweep");
+            writer.wake(if self.idle_sweep { SWEEP_INTERVAL_US * 4 } else { SWEEP_INTERVAL_US }, "sweep");
         }
         Ok(())
     }
@@ -119,12 +119,12 @@
     fn set_maxima(&mut self, now_us: u64) {
         let bound = |entry: &QueueKey| self.queries[&entry.2].binding_execution().is_some();
         let ids: Vec<u32> = if self.deployment.probes && now_us < self.next_maxima_us {
-            self.waiting.iter().flat_map(|entry| self.queries[&entry.2].asked.iter().copied()).collect()
+            self.waiting.iter().flat_map(|entry| self.queries[&entry.2].probed.iter().copied()).collect()
         } else {
             self.next_maxima_us = now_us + MAXIMA_INTERVAL_US;
-            let known = || self.subset_backends().filter_map(|backend| backend.median_pace);
-            let mean = mean_or(known(), DEFAULT_MAX_LOAD / self.target_us);
-            self.slowest_pace = known().fold(mean, f64::min);
+            let median_paces = || self.subset_backends().filter_map(|backend| backend.median_pace);
+            let mean = mean_or(median_paces(), DEFAULT_MAX_LOAD / self.target_us);
+            self.slowest_pace = median_paces().fold(mean, f64::min);
             let by_weight = |backend: &Backend| backend.median_pace.map(|pace| pace / backend.weight());
             self.pace_per_weight =
                 mean_or(self.subset_backends().filter_map(by_weight), DEFAULT_MAX_LOAD / self.target_us);
@@ -148,10 +148,11 @@
             );
             // A stalled backend yields no outcomes, so the oldest execution that wasn't overtaken bounds its
             // pace.
-            let ends = !self.deployment.probes && now_us >= self.unread.until_us;
-            for (_, held) in backend.held.range(backend.last_completed_serial..).take(usize::from(ends)) {
-                let age_us = now_us.saturating_sub(held.sent_us).max(1);
-                backend.pace = backend.pace.min(held.work_at_send / age_us as f64);
+            let ends = !self.deployment.probes && now_us >= self.buffer_state.until_us;
+            for (_, exec) in backend.executions.range(backend.last_completed_serial..).take(usize::from(ends))
+            {
+                let age_us = now_us.saturating_sub(exec.sent_us).max(1);
+                backend.pace = backend.pace.min(exec.work_at_send / age_us as f64);
             }
             backend.max = backend.pace
                 * self.target_us
@@ -180,8 +181,9 @@
             self.draw_subset(ids, PROBING_SUBSET);
         } else {
             // With many proxies, each uses its own contiguous part of the list, an arc.
-            let many = MIN_ARC * self.proxy_count > MAX_PROXIES_PER_BACKEND * ids.len();
-            let use_small_arc = if self.deployment.peers { many } else { self.deployment.connection > 0.0 };
+            let many_sharers = MIN_ARC * self.proxy_count > MAX_PROXIES_PER_BACKEND * ids.len();
+            let use_small_arc =
+                if self.deployment.peers { many_sharers } else { self.deployment.connection > 0.0 };
             let min_arc = if use_small_arc { MIN_ARC_COSTLY } else { MIN_ARC };
             let arc =
                 (PROXIES_PER_BACKEND * ids.len()).div_ceil(self.proxy_count).max(min_arc).min(ids.len());
@@ -194,9 +196,9 @@
         let mut rng = self.rng.fork();
         let mut servers: Vec<&Backend> = self.subset_backends().collect();
         servers.sort_by(|a, b| b.max.total_cmp(&a.max));
-        let whole: f64 = servers.iter().map(|server| server.max).sum();
+        let total_capacity: f64 = servers.iter().map(|server| server.max).sum();
         let total_traffic: f64 = self.traffic.iter().sum();
-        let mut wanted = self.traffic.map(|traffic| whole * traffic / total_traffic.max(1e-9));
+        let mut wanted = self.traffic.map(|traffic| total_capacity * traffic / total_traffic.max(1e-9));
         let mut groups: [Vec<Member>; 4] = Default::default();
         for (index, server) in servers.iter().enumerate().filter(|_| total_traffic > 0.0) {
             let lacks_backends = |kind: &usize| self.traffic[*kind] > 0.0 && groups[*kind].is_empty();
@@ -236,21 +238,21 @@
         let warmth = |at: &Backend| at.warmup_factor(&self.cold, now_us.saturating_sub(window_us / 2));
         let budget = self.cold.capacity_multiple * warmth(backend) * self.slowest_pace * window_us as f64;
         let sent = backend.cold_work_since(now_us.saturating_sub(window_us));
-        let (sharers, turn_number, turn_start_us) = self.turn(backend, now_us, window_us);
+        let (sharers, slot_number, slot_start_us) = self.time_slot(backend, now_us, window_us);
         let share = budget / (sharers * self.processes) as f64;
-        // A share below one query is granted in turns that add up to the share. A turn may only be used in
-        // its first half and only if it began after the start was known; otherwise turns of several proxies
-        // would be used at once.
-        let turn_granted = turn_number * work < share
-            && turn_start_us >= backend.start_heard_us
-            && now_us < turn_start_us + window_us / 2;
+        // A share below one query is granted in time slots that add up to the share. A slot may only be used
+        // in its first half and only if it began after the start was known; otherwise slots of several
+        // proxies would be used at once.
+        let slot_granted = slot_number * work < share
+            && slot_start_us >= backend.start_learned_us
+            && now_us < slot_start_us + window_us / 2;
         // A proxy that has just started knows no pace, and may replace a process that has sent work there
         // already. Only the proxies that have the backend in their subset have a share.
-        let newly_started = |of: bool| of && self.subset_backends().any(|at| warmth(at) >= 1.0);
+        let newly_started = |condition: bool| condition && self.subset_backends().any(|at| warmth(at) >= 1.0);
         let may_follow_predecessor =
             backend.since_us < self.first_list_us && now_us < self.first_list_us + window_us;
         let within_share =
-            || sent + work <= share && !newly_started(may_follow_predecessor) || sent <= 0.0 && turn_granted;
+            || sent + work <= share && !newly_started(may_follow_predecessor) || sent <= 0.0 && slot_granted;
         let in_subset = || self.deployment.probes || self.subset.contains(&backend.listed.backend);
         let pace_known = || !newly_started(self.subset_backends().all(|at| at.median_pace.is_none()));
         warmth(backend) >= 1.0 || within_share() && in_subset() && pace_known()
@@ -259,15 +261,18 @@
     /// Whether this proxy has as much in flight as its share at overloaded backends. Always false where load
     /// is known from probes, peers, or a reported utilisation below 0.9.
     fn inferred_overload(&self, now_us: u64) -> bool {
-        let told =
+        let load_known =
             self.deployment.probes || self.deployment.peers || (1e-9..0.9).contains(&self.mean_utilisation);
         let users = |backend: &Backend| 1.0 / (backend.sharing_peers.len() + 1) as f64;
         let fair: f64 =
             self.subset_backends().filter(|backend| backend.ejected_until_us <= now_us).map(users).sum();
-        let known = self.reported_in_flight.count >= 16;
-        let share =
-            if known { self.own_in_flight.mean / self.reported_in_flight.mean.max(1e-9) } else { 0.0 };
-        !told && self.out() >= EXECUTION_LIMIT_INFERRED * share.clamp(fair, fair * 2.0)
+        let enough_reports = self.reported_in_flight.count >= 16;
+        let share = if enough_reports {
+            self.own_in_flight.mean / self.reported_in_flight.mean.max(1e-9)
+        } else {
+            0.0
+        };
+        !load_known && self.executions_in_flight() >= EXECUTION_LIMIT_INFERRED * share.clamp(fair, fair * 2.0)
     }
 
     /// Whether the executions of this workload fail far more often than another's on the same backends; and
@@ -312,23 +317,23 @@
             self.groups[kind].iter_mut().filter(|member| may.contains(&member.backend)).collect();
         let weight =
             |at: &Member| self.fleet[&at.backend].listed.weight * self.fleet[&at.backend].phase_out_factor();
-        let whole: f64 = among.iter().map(|member| weight(member)).sum();
-        among.iter_mut().for_each(|member| member.turn += weight(member));
-        let next = among.into_iter().max_by(|a, b| a.turn.total_cmp(&b.turn))?;
-        next.turn -= whole;
+        let total_weight: f64 = among.iter().map(|member| weight(member)).sum();
+        among.iter_mut().for_each(|member| member.current_weight += weight(member));
+        let next = among.into_iter().max_by(|a, b| a.current_weight.total_cmp(&b.current_weight))?;
+        next.current_weight -= total_weight;
         Some(next.backend)
     }
 
     /// Probes candidates: the group's next in rotation; unless that is lightly loaded, some of the group; if
     /// none of them fits, some of the zone; and some of all where waiting costs more than crossing zones.
     /// True once the best is known.
-    fn ask(&mut self, id: &str, now_us: u64, out: &mut dyn Writer) -> bool {
+    fn probe_candidates(&mut self, id: &str, now_us: u64, writer: &mut dyn Writer) -> bool {
         loop {
             let qry = &self.queries[id];
             let usable = |at: &&Backend| self.usable(qry, at, now_us);
             let spare = |backend: &Backend| backend.spare_capacity() - self.placement_cost(qry, backend);
-            let asked = qry.asked.iter().map(|at| &self.fleet[at]).filter(usable);
-            let best = asked.max_by(|a, b| spare(a).total_cmp(&spare(b)));
+            let probed = qry.probed.iter().map(|at| &self.fleet[at]).filter(usable);
+            let best = probed.max_by(|a, b| spare(a).total_cmp(&spare(b)));
             // The next in rotation is still lightly loaded with one mean query: whether it has several cores
             // is unknown.
             let light = if qry.probe_waves == 1 { TYPE_LOADS[1] } else { 0.0 };
@@ -337,18 +342,18 @@
             if best.is_some_and(enough) || qry.probe_waves >= MAX_PROBE_WAVES {
                 // The load found, as a multiple of the maximum: the next queries may be rejected for it
                 // without a probe.
-                let found =
+                let found_load =
                     best.filter(|at| at.probe_in_flight.is_none()).map(|at| at.load() / at.max.max(1e-9));
                 self.probed_load =
-                    found.map_or(self.probed_load, |found| (now_us, found.min(OVERLOAD_FACTOR * 2.0)));
-                return found.is_some() || best.is_none();
+                    found_load.map_or(self.probed_load, |load| (now_us, load.min(OVERLOAD_FACTOR * 2.0)));
+                return found_load.is_some() || best.is_none();
             }
             let fit = |at: &u32| {
                 let backend = &self.fleet[at];
                 let worth_it = best.is_none_or(|best| self.placement_cost(qry, backend) < best.load());
                 worth_it
-                    && backend.found < backend.max * OVERLOAD_FACTOR
-                    && !qry.asked.contains(at)
+                    && backend.probed_work < backend.max * OVERLOAD_FACTOR
+                    && !qry.probed.contains(at)
                     && usable(&backend)
             };
             let (kind, bound) = (qry.kind, qry.binding_execution().is_some());
@@ -375,29 +380,29 @@
                 }
                 self.rng = rng;
             }
-            chosen.iter().for_each(|at| self.probe(*at, now_us, out));
+            chosen.iter().for_each(|at| self.probe(*at, now_us, writer));
             let qry = self.queries.get_mut(id).expect("waiting queries are open");
             qry.probe_waves = next_wave;
-            qry.asked.extend(chosen);
+            qry.probed.extend(chosen);
         }
     }
 
     /// Probes a backend, unless a probe is pending there that doesn't count as lost.
-    fn probe(&mut self, id: u32, now_us: u64, out: &mut dyn Writer) {
+    fn probe(&mut self, id: u32, now_us: u64, writer: &mut dyn Writer) {
         let backend = self.fleet.get_mut(&id).expect("only listed backends are probed");
         if backend.probe_in_flight.is_none_or(|(sent_us, _)| now_us > sent_us + PROBE_LOST_AFTER_US) {
             backend.probe_in_flight = Some((now_us, self.last_serial + 1));
-            out.probe(id);
+            writer.probe(id);
         }
     }
 
     /// Chooses a backend for a query, or for a hedged request if `second`.
-    fn choose(&mut self, id: &str, now_us: u64, second: bool, out: &mut dyn Writer) -> Option<u32> {
+    fn choose(&mut self, id: &str, now_us: u64, second: bool, writer: &mut dyn Writer) -> Option<u32> {
         if self.inferred_overload(now_us) {
             return None;
         }
-        let asks = self.deployment.probes && !second;
-        if asks && !self.ask(id, now_us, out) {
+        let probes = self.deployment.probes && !second;
+        if probes && !self.probe_candidates(id, now_us, writer) {
             return None;
         }
         let mut rng = self.rng.fork();
@@ -405,10 +410,10 @@
         // The less important the query, the lower the probed load up to which it is placed.
         let acceptable =
             |at: &Backend| at.load() <= (at.max * OVERLOAD_FACTOR * qry.importance).max(ALWAYS_ACCEPTED_LOAD);
-        let known = |at: &Backend| {
-            qry.asked.contains(&at.listed.backend) && at.probe_in_flight.is_none() && acceptable(at)
+        let probe_answered = |at: &Backend| {
+            qry.probed.contains(&at.listed.backend) && at.probe_in_flight.is_none() && acceptable(at)
         };
-        let usable = |at: &Backend| (!asks || known(at)) && self.usable(qry, at, now_us);
+        let usable = |at: &Backend| (!probes || probe_answered(at)) && self.usable(qry, at, now_us);
         let (kind, tail) = (qry.kind, qry.load > TYPE_LOADS[3]);
         let (mut load, mut max) = (0.0, 0.0);
         let mut own = Vec::new();
@@ -420,7 +425,7 @@
             }
         }
         // The rotation would send a long-tail query to the slowest backend as readily as to the fastest.
-        if load <= max / 10.0 && !own.is_empty() && !tail && !asks {
+        if load <= max / 10.0 && !own.is_empty() && !tail && !probes {
             return self.rotate(kind, &own);
         }
         // A long-tail query exceeds every maximum: it fits where it would end within its SLO time.
@@ -428,7 +433,9 @@
         let (load, work, overload_allowance) = (qry.load, qry.work, 1.0 + qry.importance);
         let fits = |at: &Backend| match tail {
             true => at.load() < at.max && at.work() + work <= at.pace * left_us,
-            false => at.idle() && at.found <= 0.0 && work <= at.pace * left_us || at.load() + load <= at.max,
+            false => {
+                at.idle() && at.probed_work <= 0.0 && work <= at.pace * left_us || at.load() + load <= at.max
+            }
         };
         // More important queries may exceed the maximum further; the others wait here, where they can still
         // be rejected.
@@ -449,7 +456,7 @@
         };
         // The deduplication group of a query that may have run may lie outside the subset.
         let mut all = match qry.binding_execution() {
-            _ if asks => qry.asked.clone(),
+            _ if probes => qry.probed.clone(),
             Some(_) => self.fleet.keys().copied().collect(),
             None => self.subset.clone(),
         };
@@ -459,7 +466,7 @@
     }
 
     /// Sends an execution of a query to a backend.
-    fn execute(&mut self, qry: &str, id: u32, now_us: u64, out: &mut dyn Writer) {
+    fn execute(&mut self, qry: &str, id: u32, now_us: u64, writer: &mut dyn Writer) {
         self.last_serial += 1;
         let qry = self.queries.get_mut(qry).expect("placed queries are open");
         let backend = self.fleet.get_mut(&id).expect("only listed backends are used");
@@ -467,28 +474,30 @@
             backend.cold_sent.retain(|sent| sent.0 + self.cold.window_us >= now_us);
             backend.cold_sent.push_back((now_us, qry.work));
         }
-        let (ahead, told) = (backend.work() + qry.work, self.deployment.peers);
-        backend.held.insert(self.last_serial, Held::new(qry, now_us, ahead, told));
+        let (ahead, notifies_peers) = (backend.work() + qry.work, self.deployment.peers);
+        backend
+            .executions
+            .insert(self.last_serial, InFlightExecution::new(qry, now_us, ahead, notifies_peers));
         let expected_us = (ahead / backend.pace.max(1e-9)) as u64;
         let timeout_us = qry.timeout_us(now_us, self.deployment.clocks.deadline_us);
-        out.execute(&qry.id, id, timeout_us, qry.dedup_left_us(&self.workloads, now_us));
+        writer.execute(&qry.id, id, timeout_us, qry.dedup_left_us(&self.workloads, now_us));
         qry.executions.push(Execution::new(id, self.last_serial, now_us, expected_us));
-        backend.notify_peers(told, out);
+        backend.notify_peers(notifies_peers, writer);
     }
 
     /// Places the waiting queries, in order, and gives up those that have no chance left.
-    fn place_waiting(&mut self, now_us: u64, out: &mut dyn Writer) {
+    fn place_waiting(&mut self, now_us: u64, writer: &mut dyn Writer) {
         let mut full = false;
         for entry in self.waiting.clone() {
             let qry = &self.queries[&entry.2];
             let last_chance = self.subset.is_empty() || qry.remaining_us(now_us) <= 2 * SWEEP_INTERVAL_US;
             let (bound, on_time) = (qry.binding_execution().is_some(), qry.remaining_us(now_us) > 0);
-            let place = if full || !on_time { None } else { self.choose(&entry.2, now_us, false, out) };
+            let place = if full || !on_time { None } else { self.choose(&entry.2, now_us, false, writer) };
             if let Some(id) = place {
                 self.waiting.remove(&entry);
-                self.execute(&entry.2, id, now_us, out);
+                self.execute(&entry.2, id, now_us, writer);
             } else if last_chance || self.queries[&entry.2].probing_done(&self.fleet) {
-                self.give_up(&entry.2, now_us, out);
+                self.give_up(&entry.2, now_us, writer);
             }
             // If an unrestricted query finds no room, neither will the less important ones after it.
             full |= place.is_none() && !bound && !self.deployment.probes;
@@ -496,7 +505,7 @@
     }
 
     /// Immediately sends the final answer to a query that gets no further execution.
-    fn give_up(&mut self, id: &str, now_us: u64, out: &mut dyn Writer) {
+    fn give_up(&mut self, id: &str, now_us: u64, writer: &mut dyn Writer) {
         let wait_us = self.expected_wait_us(Reverse(0)) as u64;
         let qry = &self.queries[id];
         let workload = &self.workloads[qry.workload];
@@ -508,10 +517,10 @@
         let retry_harmless =
             qry.binding_execution().is_none() || workload.repeat == Repeat::Idempotent || all;
         match retry_harmless {
-            true => out.reject(&qry.id, wait_us.max(self.target_us as u64).min(qry.limits.max_backoff_us)),
-            false => out.abort(&qry.id),
+            true => writer.reject(&qry.id, wait_us.max(self.target_us as u64).min(qry.limits.max_backoff_us)),
+            false => writer.abort(&qry.id),
         }
-        self.close(id, out);
+        self.close(id, writer);
     }
 
     /// Records an outcome and ejects a backend whose recent outcomes are bad and twice as bad as the others'.
@@ -552,7 +561,7 @@
 
     /// Periodic work: decays estimates, gives up queries that have waited too long, and sends hedged
     /// requests.
-    fn sweep(&mut self, now_us: u64, out: &mut dyn Writer) {
+    fn sweep(&mut self, now_us: u64, writer: &mut dyn Writer) {
         if now_us >= self.next_decay_us {
             self.next_decay_us = now_us + MAXIMA_INTERVAL_US;
             // Old paces decay without new outcomes; otherwise a backend that was slow once would stay unused.
@@ -567,17 +576,19 @@
         let stale = waiting.filter(|qry| now_us > qry.arrived_us + qry.slo_us / 2);
         // Where clocks differ, time-outs exceed the time in which an answer is worth anything, so its end is
         // checked here.
-        let ended =
-            self.queries.values().filter(|qry| !qry.finished && qry.out() && qry.remaining_us(now_us) == 0);
+        let ended = self
+            .queries
+            .values()
+            .filter(|qry| !qry.finished && qry.has_in_flight() && qry.remaining_us(now_us) == 0);
         let ended = ended.filter(|_| self.deployment.clocks.deadline_us > 0);
         // A query that blocks its backend would be late in any case, as would those queued behind it.
         let holds: Vec<bool> = (0..self.failure_rates.len()).map(|of| self.suspect_workload(of).1).collect();
         let late = |qry: &&Query| {
-            !qry.finished && holds[qry.workload] && qry.executions.iter().any(|at| at.out && at.late)
+            !qry.finished && holds[qry.workload] && qry.executions.iter().any(|at| at.in_flight && at.late)
         };
         let late = self.queries.values().filter(late);
         for id in stale.chain(ended).chain(late).map(|qry| qry.id.clone()).collect::<BTreeSet<String>>() {
-            self.give_up(&id, now_us, out);
+            self.give_up(&id, now_us, writer);
         }
         // Hedged requests are sent only if the backend is slow relative to the others, not if all are slow,
         // and within a retry budget that overload exhausts at once, so that further executions don't amplify
@@ -585,31 +596,35 @@
         // shows that it was overtaken.
         let usual = mean_or(self.subset_backends().map(|backend| backend.pace), 0.0);
         let late = |qry: &Query| {
-            let (ran, two) = (qry.executions.len(), qry.limits.may_duplicate);
-            let exec = qry.executions.last().filter(|exec| exec.out && !exec.cancel_sent)?;
+            let (executions, may_duplicate) = (qry.executions.len(), qry.limits.may_duplicate);
+            let exec = qry.executions.last().filter(|exec| exec.in_flight && !exec.cancel_sent)?;
             let once = self.workloads[qry.workload].repeat == Repeat::NonIdempotent;
-            let may = if two { ran == 1 } else { self.deployment.probes && qry.limits.cancel && !once };
+            let may = if may_duplicate {
+                executions == 1
+            } else {
+                self.deployment.probes && qry.limits.cancel && !once
+            };
             // After the deadline there is none: the time-out is about to arrive here.
             let late_us = exec.sent_us + (2 * exec.expected_duration_us).max(qry.slo_us / 3);
             let may = may && !self.suspect_workload(qry.workload).0;
             let due = may && !qry.finished && qry.may_retry(now_us) && now_us > late_us;
-            due.then(|| (qry.id.clone(), exec.backend, exec.serial, two))
+            due.then(|| (qry.id.clone(), exec.backend, exec.serial, may_duplicate))
         };
-        for (id, at, serial, two) in self.queries.values().filter_map(late).collect::<Vec<_>>() {
+        for (id, at, serial, may_duplicate) in self.queries.values().filter_map(late).collect::<Vec<_>>() {
             let backend = &self.fleet[&at];
-            let lost = backend.held.get(&serial).is_some_and(|held| held.lost);
-            let copy = two && (lost || backend.pace * 2.0 < usual);
+            let lost = backend.executions.get(&serial).is_some_and(|exec| exec.lost);
+            let send_hedge = may_duplicate && (lost || backend.pace * 2.0 < usual);
             if self.retry_budget < 1.0 {
                 break;
-            } else if !two && lost {
+            } else if !may_duplicate && lost {
                 let qry = self.queries.get_mut(&id).expect("late queries are open");
-                out.cancel(&id, qry.executions.len() as u32 - 1);
+                writer.cancel(&id, qry.executions.len() as u32 - 1);
                 qry.executions.last_mut().expect("a late query has an execution").cancel_sent = true;
-            } else if !two && backend.last_completed_serial <= serial {
-                self.probe(at, now_us, out);
-            } else if let Some(to) = copy.then(|| self.choose(&id, now_us, true, out)).flatten() {
+            } else if !may_duplicate && backend.last_completed_serial <= serial {
+                self.probe(at, now_us, writer);
+            } else if let Some(to) = send_hedge.then(|| self.choose(&id, now_us, true, writer)).flatten() {
                 self.retry_budget -= 1.0;
-                self.execute(&id, to, now_us, out);
+                self.execute(&id, to, now_us, writer);
             }
         }
     }
@@ -657,7 +672,7 @@
         (qry.slo_us, qry.importance) = (slo_us, importance);
         qry.set_deadline(ttl_us, b.deployment.clocks.deadline_us, late);
         // A query that would only wait for a response buffer is rejected, with a back-off until one is free.
-        let unread = b.unread.until_us > qry.deadline_us;
+        let buffers_full = b.buffer_state.until_us > qry.deadline_us;
         let (left_us, place) = (qry.remaining_us(self.now_us), qry.queue_key());
         b.admit(qry);
         // Rejects with a probability that rises from 0 at an expected wait of 0.02 of the SLO time to 1 at
@@ -671,17 +686,17 @@
         };
         let (suspect, blocks) = b.suspect_workload(workload);
         let paused = self.now_us < b.failure_rates[workload].paused_until_us;
-        let blocked =
-            blocks && (paused || b.queries.values().any(|qry| qry.workload == workload && qry.out()));
+        let blocked = blocks
+            && (paused || b.queries.values().any(|qry| qry.workload == workload && qry.has_in_flight()));
         // Clients also retry queries that crash or hang every backend that takes them, so a suspect one isn't
         // executed again.
         if fastest_duration_us > left_us as f64
             || is_retry && suspect
             || blocked
-            || unread
+            || buffers_full
             || b.rng.f64() < rejection_probability
         {
-            b.give_up(id, self.now_us, self.out);
+            b.give_up(id, self.now_us, self.writer);
         } else {
             b.waiting.insert(place);
         }
@@ -701,7 +716,9 @@
         let (b, now_us) = (&mut *self.balancer, self.now_us);
         let Some(qry) = b.queries.get_mut(id) else { return };
         let spent = qry.remaining_us(now_us) == 0;
-        let Some(exec) = qry.executions.get_mut(execution as usize).filter(|exec| exec.out) else { return };
+        let Some(exec) = qry.executions.get_mut(execution as usize).filter(|exec| exec.in_flight) else {
+            return;
+        };
         let backend = b.fleet.get_mut(&exec.backend).expect("only listed backends are used");
         // Where clocks differ, the client's deadline may pass earlier than assumed here, which is not the
         // backend's fault. A cancellation at the end of the query's worth counts as the time-out that it
@@ -711,7 +728,7 @@
         let cut = cut && now_us + SWEEP_INTERVAL_US < qry.longest_us;
         // Nor is it the backend's fault if the response buffers here were full; the time taken then says
         // nothing of its pace.
-        let unread = b.unread.last_full_us > exec.sent_us;
+        let delayed_by_buffers = b.buffer_state.last_full_us > exec.sent_us;
         qry.deadline_us = if cut { qry.deadline_us.min(now_us) } else { qry.deadline_us };
         let gone = error_us > 0 && ended == Ended::Cancelled && spent;
         let ended = if gone { Ended::TimedOut } else { ended };
@@ -720,34 +737,37 @@
         let by_clock = qry.longest_us.saturating_sub(now_us) < error_us * 2 && backend.load() < backend.max;
         // A backend that drops all its executions has died: it returns cold, whatever the list says so far.
         let dropped = ended == Ended::Dropped && !over && backend.listed.phase == Phase::Ready;
-        let (died, held_there) = (
+        let (backend_died, execution_count) = (
             dropped && backend.record_drop(now_us),
             (backend.execution_count() + DEATH_DROPS as usize) as f64,
         );
-        if died && backend.since_us + b.cold.window_us < now_us {
-            backend.died(now_us);
+        if backend_died && backend.since_us + b.cold.window_us < now_us {
+            backend.mark_dead(now_us);
         }
-        exec.out = false;
+        exec.in_flight = false;
         exec.may_have_run = !matches!(ended, Ended::Rejected | Ended::Unreachable | Ended::NotSent);
-        let held = backend.held.remove(&exec.serial);
-        backend.notify_peers(held.as_ref().is_some_and(|held| held.told), self.out);
+        let removed = backend.executions.remove(&exec.serial);
+        backend.notify_peers(removed.as_ref().is_some_and(|removed| removed.notifies_peers), self.writer);
         backend.record_report(report.unwrap_or_default());
-        report.and_then(|report| report.held).into_iter().for_each(|held| b.reported_in_flight.add(held, 64));
+        report
+            .and_then(|report| report.in_flight)
+            .into_iter()
+            .for_each(|count| b.reported_in_flight.add(count, 64));
         let completed = ended == Ended::Completed;
         let counts = completed || matches!(ended, Ended::TimedOut | Ended::Dropped | Ended::Errored);
-        b.unread.last_response_us = if completed { now_us } else { b.unread.last_response_us };
-        if counts && !exec.late && !unread {
+        b.buffer_state.last_response_us = if completed { now_us } else { b.buffer_state.last_response_us };
+        if counts && !exec.late && !delayed_by_buffers {
             b.failure_rates[qry.workload].ended(completed, now_us + qry.slo_us * 4);
         }
         let informative = completed || ended == Ended::TimedOut && !b.deployment.probes;
-        if let Some(held) = held.filter(|_| informative && !unread) {
-            backend.record_pace(held.work_at_send / took_us.max(1) as f64, 16, now_us);
+        if let Some(removed) = removed.filter(|_| informative && !delayed_by_buffers) {
+            backend.record_pace(removed.work_at_send / took_us.max(1) as f64, 16, now_us);
             // Time beyond the execution's own work was spent on other proxies' load: pause, so that all
             // proxies take turns.
-            let alone_us = b.speeds.at(0.9).map_or(0.0, |fastest| held.work * b.unit_us * 1e3 / fastest);
+            let alone_us = b.speeds.at(0.9).map_or(0.0, |fastest| removed.work * b.unit_us * 1e3 / fastest);
             let extra_us = (took_us as f64 - alone_us - b.target_us).clamp(0.0, 1e6);
-            let unseen = backend.sharing_peers.len().saturating_sub(PROXIES_PER_BACKEND) as f64;
-            backend.cooldown = (now_us, extra_us * unseen / 2.0);
+            let sharers_above_target = backend.sharing_peers.len().saturating_sub(PROXIES_PER_BACKEND) as f64;
+            backend.cooldown = (now_us, extra_us * sharers_above_target / 2.0);
         }
         if ended == Ended::Unreachable || ended == Ended::Rejected && !by_clock {
             // The backend itself says that it is full; since it answers at once, it would otherwise appear to
@@ -761,18 +781,18 @@
         if completed && b.unit_us > 0.0 {
             b.speeds.record(qry.work * b.unit_us * 1e3 / took_us.max(1) as f64, 256);
         }
-        let (judged, closed, out) = (exec.backend, over || qry.finished, qry.out());
-        (qry.probe_waves, qry.asked) = (0, Vec::new());
+        let (judged, closed, still_in_flight) = (exec.backend, over || qry.finished, qry.has_in_flight());
+        (qry.probe_waves, qry.probed) = (0, Vec::new());
         let no_verdict = matches!(ended, Ended::Cancelled | Ended::NotSent | Ended::Rejected | Ended::Stale);
-        if !(lost || cut || no_verdict || unread && ended == Ended::TimedOut) {
+        if !(lost || cut || no_verdict || delayed_by_buffers && ended == Ended::TimedOut) {
             b.update_health(judged, completed, now_us);
         }
-        if died {
-            b.lower_execution_limit(Some(held_there));
+        if backend_died {
+            b.lower_execution_limit(Some(execution_count));
         }
         if closed {
-            b.close(id, self.out);
-        } else if !out {
+            b.close(id, self.writer);
+        } else if !still_in_flight {
             let qry = &b.queries[id];
             // An execution that reached no backend, or hardly did, loads none and costs no retry budget.
             let rejected_while_probing = b.deployment.probes && ended == Ended::Rejected;
@@ -792,7 +812,7 @@
                 b.retry_budget -= retry_cost;
                 b.waiting.insert(qry.queue_key());
             } else {
-                b.give_up(id, now_us, self.out);
+                b.give_up(id, now_us, self.writer);
             }
         }
     }
@@ -823,19 +843,19 @@
     /// determines.
     pub fn list_failed(&mut self, failure: Failure) {
         let b = &mut *self.balancer;
-        self.out.wake(b.rng.u64(b.retry.failed(failure)), "ask");
+        self.writer.wake(b.rng.u64(b.retry.failed(failure)), "ask");
     }
 
-    /// Entries of the list of backends have arrived: the complete list if `whole`, else the changed ones.
-    pub fn list(&mut self, whole: bool, items: &[Listed]) {
+    /// Entries of the list of backends have arrived: the complete list if `complete`, else the changed ones.
+    pub fn list(&mut self, complete: bool, items: &[Listed]) {
         // Arcs are cut from the complete list: where there are any, a backend that leaves moves them all.
         let b = &mut *self.balancer;
         // Probes show the load of other proxies: with few proxies, each knows a large part of the load
         // itself.
         b.deployment.probes &= b.first_list_us > 0 || b.proxy_count > items.len();
-        let (came, left, held) = b.listed(whole, items, self.now_us);
-        b.lower_execution_limit(held);
-        if came || left && b.proxy_count > PROXIES_PER_BACKEND || b.groups.iter().any(Vec::is_empty) {
+        let (added, removed, executions) = b.listed(complete, items, self.now_us);
+        b.lower_execution_limit(executions);
+        if added || removed && b.proxy_count > PROXIES_PER_BACKEND || b.groups.iter().any(Vec::is_empty) {
             b.regroup_us = self.now_us;
         }
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -134,7 +134,7 @@
     /// The utilisation of its processors, from 0 to 1.
     pub utilisation: Option<f64>,
     /// Queries in flight at the backend, those of this proxy included.
-    pub held: Option<f64>,
+    pub in_flight: Option<f64>,
     /// Errors per second.
     pub errors_per_s: Option<f64>,
 }
--- a/src/judge.rs
+++ b/src/judge.rs
@@ -33,10 +33,11 @@
         each: f64,
         silent: Option<f64>,
     ) {
-        let (own, count) = self.there().fold((0.0, 0.0), |sum, held| (sum.0 + held.work, sum.1 + 1.0));
-        let held = report.held.map(|held| (held - count) * each);
-        let there = held.unwrap_or(waited_us as f64 * self.pace - own).max(0.0);
-        self.seen = (now_us, silent.unwrap_or(there));
+        let (own, count) =
+            self.active_executions().fold((0.0, 0.0), |sum, exec| (sum.0 + exec.work, sum.1 + 1.0));
+        let reported = report.in_flight.map(|in_flight| (in_flight - count) * each);
+        let others = reported.unwrap_or(waited_us as f64 * self.pace - own).max(0.0);
+        self.last_probe = (now_us, silent.unwrap_or(others));
         let passed = self.probe_in_flight.take().filter(|_| silent.is_none());
         self.last_completed_serial = self.last_completed_serial.max(passed.map_or(0, |(_, serial)| serial));
         self.record_report(report);
@@ -53,19 +54,21 @@
         target_us: f64,
         quickest_us: u64,
     ) {
-        self.told.retain(|told| told.until_us > now_us);
+        self.peer_reports.retain(|report| report.until_us > now_us);
         self.effective_utilisation = self.utilisation.unwrap_or(used);
         let (count, learned) = (self.paces.len() as f64, self.median_pace.unwrap_or(usual_pace));
         self.pace = (learned * count + usual_pace * sure) / (count + sure);
-        self.found = (self.seen.1 - self.pace * now_us.saturating_sub(self.seen.0) as f64).max(0.0);
+        self.probed_work =
+            (self.last_probe.1 - self.pace * now_us.saturating_sub(self.last_probe.0) as f64).max(0.0);
         // A backend that hasn't answered its probe yet has at least the work that it could have done since.
         let silent =
             self.probe_in_flight.map(|sent| now_us.saturating_sub(sent.0.saturating_add(quickest_us)));
-        self.found = self.found.max(silent.unwrap_or(0) as f64 * self.pace);
+        self.probed_work = self.probed_work.max(silent.unwrap_or(0) as f64 * self.pace);
         // An execution that later ones have overtaken, and that is late as well, hangs on a dead connection.
         let (pace, passed) = (self.pace.max(1e-9), self.last_completed_serial);
-        let late_us = |held: &Held| held.sent_us + (2.0 * target_us.max(held.work / pace)) as u64;
-        self.held.range_mut(..passed).for_each(|(_, held)| held.lost = now_us > late_us(held));
+        let late_us =
+            |exec: &InFlightExecution| exec.sent_us + (2.0 * target_us.max(exec.work / pace)) as u64;
+        self.executions.range_mut(..passed).for_each(|(_, exec)| exec.lost = now_us > late_us(exec));
     }
 
     /// Halves the weight of the recorded paces if no outcome came for `after_us`.
@@ -123,12 +126,12 @@
 }
 
 impl Balancer {
-    /// A backend has died or restarted without draining, with `held` executions known to be there. The cause
-    /// may also bring down the backends that take over its load, so the limit is lowered for all; it recovers
+    /// A backend has died or restarted without draining, with `executions` known to be there. The cause may
+    /// also bring down the backends that take over its load, so the limit is lowered for all; it recovers
     /// with time.
-    pub(crate) fn lower_execution_limit(&mut self, held: Option<f64>) {
-        let Some(held) = held else { return };
-        self.execution_limit = (self.execution_limit.min(held.max(1.0)) * RESTART_LIMIT_FACTOR)
+    pub(crate) fn lower_execution_limit(&mut self, executions: Option<f64>) {
+        let Some(executions) = executions else { return };
+        self.execution_limit = (self.execution_limit.min(executions.max(1.0)) * RESTART_LIMIT_FACTOR)
             .max(MIN_EXECUTION_LIMIT)
             .min(self.execution_limit);
     }
@@ -138,24 +141,28 @@
     /// If more are late than there are response buffers, at several backends, and no answer has arrived
     /// since, slow readers hold all buffers.
     pub(crate) fn find_late(&mut self, now_us: u64) {
-        let (target_us, unit_us, back_us) =
-            (self.target_us * 3.0, self.unit_us * 2.0, self.unread.last_response_us);
-        let mut unread = Vec::new();
+        let (target_us, unit_us, last_response_us) =
+            (self.target_us * 3.0, self.unit_us * 2.0, self.buffer_state.last_response_us);
+        let mut late_executions = Vec::new();
         for qry in self.queries.values_mut().filter(|qry| !qry.finished) {
             let (late_us, deadline_us) = ((qry.work * unit_us + target_us) as u64, qry.deadline_us);
-            let due = |exec: &&mut Execution| exec.out && now_us > exec.sent_us + late_us;
+            let due = |exec: &&mut Execution| exec.in_flight && now_us > exec.sent_us + late_us;
             for exec in qry.executions.iter_mut().filter(due) {
-                unread.extend((exec.sent_us + late_us > back_us).then_some((deadline_us, exec.backend)));
+                late_executions.extend(
+                    (exec.sent_us + late_us > last_response_us).then_some((deadline_us, exec.backend)),
+                );
                 if !std::mem::replace(&mut exec.late, true) {
                     self.failure_rates[qry.workload].ended(false, now_us + qry.slo_us * 4);
                 }
             }
         }
-        unread.sort_unstable();
-        let room = self.deployment.response_buffers.unwrap_or(usize::MAX);
-        let several = unread.len() > room && unread.iter().any(|late| late.1 != unread[0].1);
-        self.unread.until_us = if several { unread[unread.len() - room].0 } else { 0 };
-        self.unread.last_full_us = if several { now_us } else { self.unread.last_full_us };
+        late_executions.sort_unstable();
+        let buffer_count = self.deployment.response_buffers.unwrap_or(usize::MAX);
+        let buffers_full = late_executions.len() > buffer_count
+            && late_executions.iter().any(|late| late.1 != late_executions[0].1);
+        self.buffer_state.until_us =
+            if buffers_full { late_executions[late_executions.len() - buffer_count].0 } else { 0 };
+        self.buffer_state.last_full_us = if buffers_full { now_us } else { self.buffer_state.last_full_us };
     }
 
     /// How long the queued work of at least this importance takes at the learned paces of the backends.
--- a/src/kept.rs
+++ b/src/kept.rs
@@ -35,7 +35,7 @@
 }
 
 impl DecayingHistogram {
-    /// Records one value; once `most` are held, all counts are halved, so that newer values dominate.
+    /// Records one value; once there are `most`, all counts are halved, so that newer values dominate.
     pub fn record(&mut self, value: f64, most: u64) {
         self.0.saturating_record(value as u64);
         if self.0.len() >= most {
@@ -70,13 +70,13 @@
     }
 }
 
-/// The mean of some values, or `none` if there are no values.
-pub fn mean_or(values: impl Iterator<Item = f64>, none: f64) -> f64 {
+/// The mean of some values, or `default` if there are no values.
+pub fn mean_or(values: impl Iterator<Item = f64>, default: f64) -> f64 {
     let (sum, count) = values.fold((0.0, 0.0), |(sum, count), value| (sum + value, count + 1.0));
     if count > 0.0 {
         sum / count
     } else {
-        none
+        default
     }
 }
 
@@ -88,7 +88,7 @@
     pub sent_us: u64,
     pub expected_duration_us: u64,
     /// Whether it is in flight.
-    pub out: bool,
+    pub in_flight: bool,
     pub cancel_sent: bool,
     pub may_have_run: bool,
     /// In flight for so long that it has already been counted as failed.
@@ -103,7 +103,7 @@
             serial,
             sent_us,
             expected_duration_us,
-            out: true,
+            in_flight: true,
             cancel_sent,
             may_have_run,
             late,
@@ -125,7 +125,7 @@
     /// Its cost hint in load units.
     pub work: f64,
     /// The candidates probed for it, in order, and the number of waves so far.
-    pub asked: Vec<u32>,
+    pub probed: Vec<u32>,
     pub probe_waves: u32,
     pub arrived_us: u64,
     pub slo_us: u64,
@@ -148,7 +148,7 @@
 
     /// The execution that restricts all further ones: the first that is in flight or may have run.
     pub fn binding_execution(&self) -> Option<&Execution> {
-        self.executions.iter().find(|exec| exec.out || exec.may_have_run)
+        self.executions.iter().find(|exec| exec.in_flight || exec.may_have_run)
     }
 
     /// For how long a further execution may begin, because the backends still drop repeats of the first;
@@ -161,8 +161,8 @@
     }
 
     /// Whether any of its executions is in flight.
-    pub fn out(&self) -> bool {
-        self.executions.iter().any(|exec| exec.out)
+    pub fn has_in_flight(&self) -> bool {
+        self.executions.iter().any(|exec| exec.in_flight)
     }
 
     /// Whether its number of executions and its deadline allow one more.
@@ -172,7 +172,8 @@
 
     /// Whether all waves of candidates were probed for it and no probe is pending.
     pub fn probing_done(&self, fleet: &BTreeMap<u32, Backend>) -> bool {
-        self.probe_waves >= MAX_PROBE_WAVES && self.asked.iter().all(|at| fleet[at].probe_in_flight.is_none())
+        self.probe_waves >= MAX_PROBE_WAVES
+            && self.probed.iter().all(|at| fleet[at].probe_in_flight.is_none())
     }
 
     /// Its key in the queue: the more important first, then the older.
@@ -185,28 +186,28 @@
 pub type QueueKey = (Reverse<u64>, u64, String);
 
 /// An execution in flight on a backend.
-pub struct Held {
+pub struct InFlightExecution {
     pub sent_us: u64,
     pub load: f64,
     pub work: f64,
     /// The known work on the backend just after this execution was added.
     pub work_at_send: f64,
     /// Whether the peers that share the backend are notified of it.
-    pub told: bool,
+    pub notifies_peers: bool,
     /// Presumed to hang on a dead connection, and so not counted as load of the backend.
     pub lost: bool,
     /// Its body is still being sent: the backend has not begun to execute it.
     pub body_incomplete: bool,
 }
 
-impl Held {
-    pub fn new(qry: &Query, sent_us: u64, work_at_send: f64, told: bool) -> Self {
-        Held {
+impl InFlightExecution {
+    pub fn new(qry: &Query, sent_us: u64, work_at_send: f64, notifies_peers: bool) -> Self {
+        InFlightExecution {
             sent_us,
             load: qry.load,
             work: qry.work,
             work_at_send,
-            told,
+            notifies_peers,
             lost: false,
             body_incomplete: false,
         }
@@ -214,20 +215,20 @@
 }
 
 /// A peer's latest report of all its executions on a backend; it counts until it expires.
-pub struct Told {
+pub struct PeerReport {
     pub peer: u32,
     /// The sequence number of the note, modulo `NOTE_BASE`.
-    pub turn: u8,
+    pub sequence: u8,
     pub count: usize,
     pub work: f64,
     pub until_us: u64,
 }
 
-impl Told {
+impl PeerReport {
     /// Compares sequence numbers, since notes may arrive out of order: a note is newer if its number lies
     /// within the half of the cycle after the last one's.
-    pub fn is_newer_than(&self, last: &Told) -> bool {
-        (1..NOTE_BASE / 2).contains(&((NOTE_BASE + self.turn - last.turn) % NOTE_BASE))
+    pub fn is_newer_than(&self, last: &PeerReport) -> bool {
+        (1..NOTE_BASE / 2).contains(&((NOTE_BASE + self.sequence - last.sequence) % NOTE_BASE))
     }
 }
 
@@ -237,13 +238,13 @@
 /// Parses a note between proxies: the low 16 bits of the backend's id in hexadecimal, then four base-94
 /// digits: the sequence number, the number of the sender's executions in flight there, and two for their work
 /// in quarters of a load unit.
-pub fn parse_note(note: &str) -> Option<(u32, Told)> {
+pub fn parse_note(note: &str) -> Option<(u32, PeerReport)> {
     let signs = note.len().checked_sub(4)?;
     let short = u32::from_str_radix(note.get(..signs)?, 16).ok()?;
     let sign = |place: usize| note.as_bytes()[signs + place].checked_sub(33).filter(|sign| *sign < NOTE_BASE);
-    let (turn, count) = (sign(0)?, usize::from(sign(1)?));
+    let (sequence, count) = (sign(0)?, usize::from(sign(1)?));
     let work = f64::from(u32::from(sign(2)?) * u32::from(NOTE_BASE) + u32::from(sign(3)?)) / 4.0;
-    Some((short, Told { peer: 0, turn, count, work, until_us: 0 }))
+    Some((short, PeerReport { peer: 0, sequence, count, work, until_us: 0 }))
 }
 
 /// A backend: its entry in the list, this proxy's executions there, and what has been learned about it.
@@ -253,7 +254,7 @@
     recent_drops: (u64, u32),
     pub listed: Listed,
     /// Drained by hand, whatever the list says.
-    pub out: bool,
+    pub manually_drained: bool,
     /// Whether it was listed as draining since its start.
     pub drained: bool,
     /// The remaining use, in steps, of a backend that was removed from the list without draining.
@@ -261,14 +262,14 @@
     /// When it last started, or returned from a manual drain with no start reported since; 0 means long ago.
     pub since_us: u64,
     /// When this proxy learned of that start.
-    pub start_heard_us: u64,
+    pub start_learned_us: u64,
     /// This proxy's executions in flight, by serial number.
-    pub held: BTreeMap<u64, Held>,
+    pub executions: BTreeMap<u64, InFlightExecution>,
     /// The other proxies that use it, and their latest reports.
     pub sharing_peers: Vec<u32>,
-    pub told: Vec<Told>,
+    pub peer_reports: Vec<PeerReport>,
     /// The sequence number of the last note sent about it.
-    pub turn: u8,
+    pub note_sequence: u8,
     pub utilisation: Option<f64>,
     /// The utilisation in use: its own report, else the mean over the backends that report.
     pub effective_utilisation: f64,
@@ -295,9 +296,9 @@
     /// When the pending probe was sent, and the serial number that the next execution had then.
     pub probe_in_flight: Option<(u64, u64)>,
     /// When the last probe returned, and the work of other proxies that it found.
-    pub seen: (u64, f64),
+    pub last_probe: (u64, f64),
     /// The estimated remainder of that work now.
-    pub found: f64,
+    pub probed_work: f64,
 }
 
 impl Backend {
@@ -313,17 +314,20 @@
 
     /// The backend has died. It will return as one that has just started, but its draining, manual drain and
     /// phase-out still apply.
-    pub fn died(&mut self, now_us: u64) {
-        let (drained, out, phase_out_steps) = (self.drained, self.out, self.phase_out_steps);
+    pub fn mark_dead(&mut self, now_us: u64) {
+        let (drained, manually_drained, phase_out_steps) =
+            (self.drained, self.manually_drained, self.phase_out_steps);
         self.restart(now_us, now_us);
-        (self.drained, self.out, self.phase_out_steps) = (drained, out, phase_out_steps);
+        (self.drained, self.manually_drained, self.phase_out_steps) =
+            (drained, manually_drained, phase_out_steps);
     }
 
     /// Resets what was learned about it, after a restart; executions still in flight there continue to count.
-    fn restart(&mut self, since_us: u64, start_heard_us: u64) {
-        let (listed, held) = (self.listed, std::mem::take(&mut self.held));
+    fn restart(&mut self, since_us: u64, start_learned_us: u64) {
+        let (listed, executions) = (self.listed, std::mem::take(&mut self.executions));
         let sharing_peers = std::mem::take(&mut self.sharing_peers);
-        *self = Backend { listed, held, since_us, start_heard_us, sharing_peers, ..Backend::default() };
+        *self =
+            Backend { listed, executions, since_us, start_learned_us, sharing_peers, ..Backend::default() };
     }
 
     /// The work sent there since the given time while it was cold.
@@ -333,7 +337,7 @@
 
     /// Whether it may be sent queries, as far as the list and the operators say.
     pub fn ready(&self) -> bool {
-        (self.listed.phase == Phase::Ready || self.phase_out_steps > 0) && !self.out
+        (self.listed.phase == Phase::Ready || self.phase_out_steps > 0) && !self.manually_drained
     }
 
     /// Its weight in the list, bounded away from 0.
@@ -342,53 +346,53 @@
     }
 
     /// This proxy's executions that are presumed to be at the backend.
-    pub fn there(&self) -> impl Iterator<Item = &Held> {
-        self.held.values().filter(|held| !held.lost && !held.body_incomplete)
+    pub fn active_executions(&self) -> impl Iterator<Item = &InFlightExecution> {
+        self.executions.values().filter(|exec| !exec.lost && !exec.body_incomplete)
     }
 
     /// Whether none of this proxy's executions is there.
     pub fn idle(&self) -> bool {
-        self.there().next().is_none()
+        self.active_executions().next().is_none()
     }
 
     /// Its load in load units, from this proxy, peers, other traffic found by probes and reported
     /// utilisation.
     pub fn load(&self) -> f64 {
-        let own: f64 = self.there().map(|held| held.load).sum();
-        own + self.peer_work() + self.found + self.effective_utilisation * self.max
+        let own: f64 = self.active_executions().map(|exec| exec.load).sum();
+        own + self.peer_work() + self.probed_work + self.effective_utilisation * self.max
     }
 
     /// The known work in flight there.
     pub fn work(&self) -> f64 {
-        self.peer_work() + self.found + self.there().map(|held| held.work).sum::<f64>()
+        self.peer_work() + self.probed_work + self.active_executions().map(|exec| exec.work).sum::<f64>()
     }
 
-    /// If `worth`, notifies all peers that share it of everything this proxy has in flight there. Each note
+    /// If `changed`, notifies all peers that share it of everything this proxy has in flight there. Each note
     /// is complete by itself, since others may be lost or late.
-    pub fn notify_peers(&mut self, worth: bool, out: &mut dyn Writer) {
-        if !worth {
+    pub fn notify_peers(&mut self, changed: bool, writer: &mut dyn Writer) {
+        if !changed {
             return;
         }
-        self.turn = (self.turn + 1) % NOTE_BASE;
+        self.note_sequence = (self.note_sequence + 1) % NOTE_BASE;
         let sign = |value: u32| char::from(33 + value.min(u32::from(NOTE_BASE) - 1) as u8);
-        let told = || self.there().filter(|held| held.told);
-        let work = (told().map(|held| held.work).sum::<f64>() * 4.0).round();
-        let work = (work as u32).clamp(u32::from(told().count() > 0), u32::from(NOTE_BASE).pow(2) - 1);
+        let notified = || self.active_executions().filter(|exec| exec.notifies_peers);
+        let work = (notified().map(|exec| exec.work).sum::<f64>() * 4.0).round();
+        let work = (work as u32).clamp(u32::from(notified().count() > 0), u32::from(NOTE_BASE).pow(2) - 1);
         let (high, low) = (work / u32::from(NOTE_BASE), work % u32::from(NOTE_BASE));
         let short = self.listed.backend & 0xffff;
-        let signs = [u32::from(self.turn), told().count() as u32, high, low].map(sign);
+        let signs = [u32::from(self.note_sequence), notified().count() as u32, high, low].map(sign);
         let note = format!("{short:x}{}", String::from_iter(signs));
-        self.sharing_peers.iter().for_each(|peer| out.send_note(*peer, &note));
+        self.sharing_peers.iter().for_each(|peer| writer.send_note(*peer, &note));
     }
 
     /// The known number of executions in flight there.
     pub fn execution_count(&self) -> usize {
-        self.there().count() + self.told.iter().map(|told| told.count).sum::<usize>()
+        self.active_executions().count() + self.peer_reports.iter().map(|report| report.count).sum::<usize>()
     }
 
     /// The work that peers have reported.
     pub fn peer_work(&self) -> f64 {
-        self.told.iter().map(|told| told.work).sum()
+        self.peer_reports.iter().map(|report| report.work).sum()
     }
 
     /// How much load it can take before its maximum; negative beyond it.
@@ -440,18 +444,18 @@
 
 impl FailureRate {
     /// Counts one execution. While most fail, a success weighs more, since few executions are sent then.
-    pub fn ended(&mut self, completed: bool, rests_until_us: u64) {
+    pub fn ended(&mut self, completed: bool, paused_until_us: u64) {
         let most = if completed && self.mean > 0.5 { 8 } else { 24 };
         self.count = (self.count + 1).min(24);
         self.mean += (f64::from(u8::from(!completed)) - self.mean) / f64::from(self.count.min(most));
-        self.paused_until_us = if completed { 0 } else { rests_until_us };
+        self.paused_until_us = if completed { 0 } else { paused_until_us };
     }
 }
 
 /// The state of the response buffers, as inferred: when slow readers last held all of them, until when the
 /// next becomes free at the latest (0 if one is free), and when an answer last arrived.
 #[derive(Default)]
-pub struct UnreadResponses {
+pub struct ResponseBufferState {
     pub last_full_us: u64,
     pub until_us: u64,
     pub last_response_us: u64,
@@ -517,7 +521,7 @@
     pub(crate) slowest_pace: f64,
     pub(crate) fleet: BTreeMap<u32, Backend>,
     /// The backends drained by hand, listed or not, and since when.
-    pub(crate) out: BTreeMap<u32, u64>,
+    pub(crate) manual_drains: BTreeMap<u32, u64>,
     /// The backends that this proxy uses: all of them, or with many proxies its arc of the list.
     pub(crate) subset: Vec<u32>,
     /// The backends outside its zone that a probing proxy may use.
@@ -538,7 +542,7 @@
     /// The executions that this proxy had in flight as queries arrived, and those that backends reported.
     pub(crate) own_in_flight: MovingAverage,
     pub(crate) reported_in_flight: MovingAverage,
-    pub(crate) unread: UnreadResponses,
+    pub(crate) buffer_state: ResponseBufferState,
     /// The recent failure rate of each workload.
     pub(crate) failure_rates: Vec<FailureRate>,
     /// Whether a timer for the next sweep is set.
@@ -599,7 +603,8 @@
         (self.limits, self.cold) = (limits, cold);
         let mut numbers = Vec::new();
         for workload in workloads {
-            let free = |(number, known): (usize, &Workload)| *known == workload && !numbers.contains(&number);
+            let free =
+                |(number, existing): (usize, &Workload)| *existing == workload && !numbers.contains(&number);
             let number = self.workloads.iter().enumerate().position(free).unwrap_or_else(|| {
                 self.workloads.push(workload);
                 self.workloads.len() - 1
@@ -625,7 +630,7 @@
             zone: backend.listed.zone,
             cell: backend.listed.cell,
             ready: backend.ready(),
-            load: backend.there().map(|held| held.load).sum(),
+            load: backend.active_executions().map(|exec| exec.load).sum(),
             max: backend.max,
             lost: backend.ejection_us > 0 || backend.failures & 0b111 == 0b111,
         })
@@ -636,12 +641,12 @@
         self.subset.iter().map(|id| &self.fleet[id])
     }
 
-    /// How many proxies use a backend, a low-discrepancy number below 1 for this proxy's current turn at it,
-    /// and when that turn began. Turns are one window long and the proxies' turns start at even offsets. The
-    /// numbers are multiples of the golden ratio, so over any run of turns they are evenly distributed: the
-    /// fraction of turns whose number lies below a proxy's share matches that share, even if shares differ
-    /// between proxies. Where candidates are probed, each proxy may use any backend.
-    pub(crate) fn turn(&self, backend: &Backend, now_us: u64, window_us: u64) -> (usize, f64, u64) {
+    /// How many proxies use a backend, a low-discrepancy number below 1 for this proxy's current time slot at
+    /// it, and when that slot began. Slots are one window long and the proxies' slots start at even offsets.
+    /// The numbers are multiples of the golden ratio, so over any run of slots they are evenly distributed:
+    /// the fraction of slots whose number lies below a proxy's share matches that share, even if shares
+    /// differ between proxies. Where candidates are probed, each proxy may use any backend.
+    pub(crate) fn time_slot(&self, backend: &Backend, now_us: u64, window_us: u64) -> (usize, f64, u64) {
         const GOLDEN: u64 = 0x9e37_79b9_7f4a_7c15;
         let before = backend.sharing_peers.partition_point(|other| (*other as usize) < self.number);
         let (users, place) = match self.deployment.probes {
@@ -649,14 +654,14 @@
             false => (backend.sharing_peers.len() + 1, before),
         };
         let since_us = now_us.saturating_sub(window_us * place as u64 / users as u64);
-        let turn = since_us / window_us * users as u64 + place as u64 + u64::from(backend.listed.backend);
-        (users, turn.wrapping_mul(GOLDEN) as f64 / u64::MAX as f64, now_us - since_us % window_us)
+        let slot = since_us / window_us * users as u64 + place as u64 + u64::from(backend.listed.backend);
+        (users, slot.wrapping_mul(GOLDEN) as f64 / u64::MAX as f64, now_us - since_us % window_us)
     }
 
     /// Adds a query that has arrived.
     pub(crate) fn admit(&mut self, qry: Query) {
         self.last_serial = qry.serial;
-        self.own_in_flight.add(self.out(), 64);
+        self.own_in_flight.add(self.executions_in_flight(), 64);
         let worth = qry.importance * qry.work;
         self.mean_importance += (worth - self.mean_importance) / self.hints.len().clamp(1, 64) as f64;
         self.queries.insert(qry.id.clone(), qry);
@@ -701,8 +706,8 @@
     }
 
     /// How many executions this proxy has in flight at the backends of its subset.
-    pub(crate) fn out(&self) -> f64 {
-        self.subset_backends().map(|backend| backend.there().count() as f64).sum()
+    pub(crate) fn executions_in_flight(&self) -> f64 {
+        self.subset_backends().map(|backend| backend.active_executions().count() as f64).sum()
     }
 
     /// Records a cost hint. A load unit is half the mean hint, so that the cut-offs between types lie where
@@ -717,23 +722,29 @@
     /// Applies entries of the list. Returns whether a ready backend was added, whether one was removed, and
     /// the most executions known at a backend that ended without draining. Backends missing from a complete
     /// list are gone.
-    pub(crate) fn listed(&mut self, whole: bool, items: &[Listed], now_us: u64) -> (bool, bool, Option<f64>) {
-        self.retry.heard();
+    pub(crate) fn listed(
+        &mut self,
+        complete: bool,
+        items: &[Listed],
+        now_us: u64,
+    ) -> (bool, bool, Option<f64>) {
+        self.retry.reset();
         self.first_list_us = if self.first_list_us == 0 { now_us } else { self.first_list_us };
-        let (mut came, mut left, mut held) = (false, false, None);
+        let (mut added, mut removed, mut executions) = (false, false, None);
         let named: BTreeSet<u32> = items.iter().map(|item| item.backend).collect();
-        let missing = self.fleet.values().filter(|backend| whole && !named.contains(&backend.listed.backend));
+        let missing =
+            self.fleet.values().filter(|backend| complete && !named.contains(&backend.listed.backend));
         let gone = missing.map(|backend| Listed { phase: Phase::Gone, ..backend.listed });
         for item in gone.collect::<Vec<_>>().iter().chain(items) {
             let backend = self.fleet.entry(item.backend).or_default();
-            let was = backend.ready();
-            let loose = self.deployment.removal_not_binding && item.phase == Phase::Gone;
+            let was_ready = backend.ready();
+            let not_binding = self.deployment.removal_not_binding && item.phase == Phase::Gone;
             // Where removal is not binding, an entry that says only "gone" carries no new start time.
-            let item = if loose { Listed { phase: Phase::Gone, ..backend.listed } } else { *item };
+            let item = if not_binding { Listed { phase: Phase::Gone, ..backend.listed } } else { *item };
             let starts = backend.listed.since_us != item.since_us;
-            let ended = item.phase == Phase::Gone && !loose || starts;
+            let ended = item.phase == Phase::Gone && !not_binding || starts;
             if backend.listed.phase == Phase::Ready && !backend.drained && ended {
-                held = Some(held.map_or(0.0, |held: f64| held).max(backend.execution_count() as f64));
+                executions = Some(executions.unwrap_or(0.0_f64).max(backend.execution_count() as f64));
             }
             if starts {
                 // The start time may be off by the clock error, and a later start may have been observed: the
@@ -743,68 +754,74 @@
                 backend.restart(stamp_us.max(backend.since_us), now_us);
             }
             backend.drained |= item.phase == Phase::Terminating;
-            let may_serve = loose && !backend.drained;
+            let may_serve = not_binding && !backend.drained;
             let dropped = may_serve && backend.listed.phase == Phase::Ready;
             backend.phase_out_steps =
                 if dropped { PHASE_OUT_STEPS } else { backend.phase_out_steps * u8::from(may_serve) };
-            (backend.listed, backend.out) = (item, self.out.contains_key(&item.backend));
-            (came, left) = (came || backend.ready() && !was, left || was && !backend.ready());
+            (backend.listed, backend.manually_drained) =
+                (item, self.manual_drains.contains_key(&item.backend));
+            (added, removed) =
+                (added || backend.ready() && !was_ready, removed || was_ready && !backend.ready());
         }
         self.remove_gone();
-        (came, left, held)
+        (added, removed, executions)
     }
 
     /// No further execution of the query is possible; the latest counts as sent only once its body is
     /// complete.
-    pub(crate) fn body_progress(&mut self, id: &str, whole: bool, now_us: u64) {
+    pub(crate) fn body_progress(&mut self, id: &str, complete: bool, now_us: u64) {
         let Some(qry) = self.queries.get_mut(id) else { return };
-        let Some(exec) = qry.executions.last_mut().filter(|exec| exec.out) else { return };
+        let Some(exec) = qry.executions.last_mut().filter(|exec| exec.in_flight) else { return };
         qry.limits.max_executions = 0;
-        exec.sent_us = if whole { now_us } else { now_us + FAR_FUTURE_US };
+        exec.sent_us = if complete { now_us } else { now_us + FAR_FUTURE_US };
         let Some(backend) = self.fleet.get_mut(&exec.backend) else { return };
         let before = backend.work();
-        if let Some(held) = backend.held.get_mut(&exec.serial) {
-            (held.sent_us, held.work_at_send, held.body_incomplete) =
-                (exec.sent_us, before + held.work, !whole);
+        if let Some(in_flight) = backend.executions.get_mut(&exec.serial) {
+            (in_flight.sent_us, in_flight.work_at_send, in_flight.body_incomplete) =
+                (exec.sent_us, before + in_flight.work, !complete);
         }
     }
 
     /// Drains a backend or returns it to service. A returning backend may have restarted without this having
     /// been reported yet, so it counts as just started.
-    pub(crate) fn set_manual_drain(&mut self, id: u32, out: bool, now_us: u64) {
-        let out_us =
-            if out { *self.out.entry(id).or_insert(now_us) } else { self.out.remove(&id).unwrap_or(0) };
+    pub(crate) fn set_manual_drain(&mut self, id: u32, drained: bool, now_us: u64) {
+        let drained_us = if drained {
+            *self.manual_drains.entry(id).or_insert(now_us)
+        } else {
+            self.manual_drains.remove(&id).unwrap_or(0)
+        };
         if let Some(backend) = self.fleet.get_mut(&id) {
-            if !out && backend.listed.since_us < out_us {
+            if !drained && backend.listed.since_us < drained_us {
                 backend.restart(now_us, now_us);
             }
-            backend.out = out;
+            backend.manually_drained = drained;
         }
         self.remove_gone();
         self.regroup_us = now_us;
     }
 
     /// Stores a peer's note, unless a newer one has arrived.
-    pub(crate) fn told(&mut self, peer: u32, note: &str, until_us: u64) {
-        let Some((short, told)) = parse_note(note) else { return };
+    pub(crate) fn record_peer_note(&mut self, peer: u32, note: &str, until_us: u64) {
+        let Some((short, report)) = parse_note(note) else { return };
         let Some(id) = self.subset.iter().find(|id| *id & 0xffff == short) else { return };
-        let last = &mut self.fleet.get_mut(id).expect("the subset contains only listed backends").told;
-        if last.iter().all(|last| last.peer != peer || told.is_newer_than(last)) {
-            last.retain(|last| last.peer != peer);
-            last.push(Told { peer, until_us, ..told });
+        let reports =
+            &mut self.fleet.get_mut(id).expect("the subset contains only listed backends").peer_reports;
+        if reports.iter().all(|last| last.peer != peer || report.is_newer_than(last)) {
+            reports.retain(|last| last.peer != peer);
+            reports.push(PeerReport { peer, until_us, ..report });
         }
     }
 
     /// Finishes a query; executions still in flight are cancelled and count until their outcome.
-    pub(crate) fn close(&mut self, id: &str, out: &mut dyn Writer) {
+    pub(crate) fn close(&mut self, id: &str, writer: &mut dyn Writer) {
         let Some(qry) = self.queries.get_mut(id) else { return };
         self.waiting.remove(&qry.queue_key());
         if !qry.finished && qry.limits.cancel {
-            let still = qry.executions.iter().enumerate().filter(|(_, exec)| exec.out);
-            still.for_each(|(number, _)| out.cancel(&qry.id, number as u32));
+            let in_flight = qry.executions.iter().enumerate().filter(|(_, exec)| exec.in_flight);
+            in_flight.for_each(|(number, _)| writer.cancel(&qry.id, number as u32));
         }
         qry.finished = true;
-        if !qry.out() {
+        if !qry.has_in_flight() {
             self.queries.remove(id);
         }
     }
@@ -817,23 +834,23 @@
         self.remote_subset.retain(|id| fleet[id].ready());
         self.groups.iter_mut().for_each(|group| group.retain(|member| fleet[&member.backend].ready()));
         let executions = self.queries.values().flat_map(|qry| &qry.executions);
-        let asked = self.queries.values().flat_map(|qry| qry.asked.iter().copied());
-        let known: BTreeSet<u32> = executions.map(|exec| exec.backend).chain(asked).collect();
+        let probed = self.queries.values().flat_map(|qry| qry.probed.iter().copied());
+        let referenced: BTreeSet<u32> = executions.map(|exec| exec.backend).chain(probed).collect();
         let named = |backend: &Backend| backend.listed.phase != Phase::Gone || backend.phase_out_steps > 0;
-        fleet.retain(|id, backend| named(backend) || known.contains(id));
+        fleet.retain(|id, backend| named(backend) || referenced.contains(id));
     }
 }
 
 /// A backend in a group, with its current weight in the smooth weighted round robin.
 pub struct Member {
     pub backend: u32,
-    pub turn: f64,
+    pub current_weight: f64,
 }
 
 impl Member {
     /// Starts at a random position in the rotation, below the weight that it gains each time.
     pub fn new(server: &Backend, chance: f64) -> Self {
-        Member { backend: server.listed.backend, turn: chance * server.listed.weight }
+        Member { backend: server.listed.backend, current_weight: chance * server.listed.weight }
     }
 }
 
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -83,7 +83,7 @@
     }
 
     /// Discovery has sent data: resets the failure counts.
-    pub fn heard(&mut self) {
+    pub fn reset(&mut self) {
         (self.refusals, self.silences) = (0, 0);
     }
 
@@ -97,7 +97,7 @@
     pub fn failed(&mut self, failure: Failure) -> Range<u64> {
         let (first_us, most_us) = match failure {
             Failure::Refused => (self.first_wait_us(), self.refused_wait_us()),
-            Failure::Silent => (self.first_silent_wait_us(), self.silent_us()),
+            Failure::Silent => (self.first_silent_wait_us(), self.silent_wait_us()),
         };
         let (first_us, most_us) = (first_us.min(self.max_wait_us), most_us.min(self.max_wait_us));
         let count = match failure {
@@ -124,7 +124,7 @@
         doubled(doubled(self.first_wait_us(), self.refusals).min(MAX_REFUSED_WAIT_US), overrun)
     }
 
-    fn silent_us(&self) -> u64 {
+    fn silent_wait_us(&self) -> u64 {
         let grown = self.silences.saturating_add(1).saturating_sub(SILENT_FLAT_RETRIES);
         doubled(self.first_silent_wait_us(), grown).min(MAX_SILENT_WAIT_US)
     }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -396,18 +396,18 @@
     let (mut ledger, _) = start(Repeat::Idempotent, 2, 2, 0, false);
     ledger.peers = true;
     let mut balancer = listed(&mut ledger, 2, 2, 0);
-    ledger.round(&mut balancer, 5_000, |_, inbox| (0..3).for_each(|_| inbox.told(1, "0\"$!z")));
+    ledger.round(&mut balancer, 5_000, |_, inbox| (0..3).for_each(|_| inbox.peer_note(1, "0\"$!z")));
     assert_eq!(spread(&mut ledger, &mut balancer, "q", &[None; 4]), vec![1; 4]);
     assert_eq!(ledger.notes.len(), 8, "a start and an end of each to the one peer: {:?}", ledger.notes);
     assert!(ledger.notes.iter().all(|note| note.1.len() == 5), "{:?}", ledger.notes);
-    ledger.round(&mut balancer, 5_000, |_, inbox| inbox.told(1, "0#!!!"));
+    ledger.round(&mut balancer, 5_000, |_, inbox| inbox.peer_note(1, "0#!!!"));
     assert!(spread(&mut ledger, &mut balancer, "r", &[None; 4]).contains(&0));
     // Overtaken by the last one on its way: what it tells of has ended.
-    ledger.round(&mut balancer, 5_000, |_, inbox| inbox.told(1, "0\"$!z"));
+    ledger.round(&mut balancer, 5_000, |_, inbox| inbox.peer_note(1, "0\"$!z"));
     assert!(spread(&mut ledger, &mut balancer, "s", &[None; 4]).contains(&0));
     // The last sign is followed by the first.
     ledger.round(&mut balancer, 5_000, |_, inbox| {
-        ["0P!!!", "0~!!!", "0!$!z"].iter().for_each(|n| inbox.told(1, n))
+        ["0P!!!", "0~!!!", "0!$!z"].iter().for_each(|n| inbox.peer_note(1, n))
     });
     assert!(!spread(&mut ledger, &mut balancer, "t", &[None; 4]).contains(&0));
 }
@@ -473,7 +473,8 @@
                 .for_each(|name| ask(&mut ledger, &mut balancer, &format!("{name}{number}"), None));
             ledger.round(&mut balancer, 30_000, |ledger, inbox| {
                 for (id, at) in ledger.out() {
-                    let report = LoadReport { held: reported, utilisation: busy, ..LoadReport::default() };
+                    let report =
+                        LoadReport { in_flight: reported, utilisation: busy, ..LoadReport::default() };
                     ledger.end_with(inbox, &id, at, Ended::Completed, Some(report));
                 }
             });
--- a/tests/retry.rs
+++ b/tests/retry.rs
@@ -163,7 +163,7 @@
     let mut retry = Retry::new(32);
     let first = retry.failed(Failure::Refused);
     longest_of(&mut retry, &[Failure::Refused; 20]);
-    retry.heard();
+    retry.reset();
     assert_eq!(retry.failed(Failure::Refused), first);
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -52,7 +52,7 @@
                 ledger.tell(inbox, &[item]);
             }
             if rng.u8(0..10) == 0 {
-                inbox.told(rng.u32(0..12), ["3!$!z", "5\"!!!", "", "3éé", "zz"][rng.usize(0..5)]);
+                inbox.peer_note(rng.u32(0..12), ["3!$!z", "5\"!!!", "", "3éé", "zz"][rng.usize(0..5)]);
             }
             if rng.u8(0..20) == 0 {
                 let (backend, out) = (rng.u32(0..backends + 2), rng.bool());
@@ -66,7 +66,7 @@
             let odd = (rng.u8(0..20) == 0).then_some(99);
             for backend in std::mem::take(&mut ledger.probed).into_iter().chain(odd) {
                 let report =
-                    LoadReport { held: rng.bool().then(|| rng.f64() * 9.0), ..LoadReport::default() };
+                    LoadReport { in_flight: rng.bool().then(|| rng.f64() * 9.0), ..LoadReport::default() };
                 let ended = [Completed, Completed, Rejected, TimedOut, Unreachable][rng.usize(0..5)];
                 if rng.u8(0..8) > 0 {
                     inbox.probe_outcome(backend, ended, rng.u64(100..300_000), Some(report));
--- a/tests/shapes.rs
+++ b/tests/shapes.rs
@@ -101,7 +101,7 @@
                     ledger.tell(inbox, list);
                 }
                 let told = notes.iter().filter(|note| note.1 as usize == number);
-                told.for_each(|(from, _, note)| inbox.told(*from as u32, note));
+                told.for_each(|(from, _, note)| inbox.peer_note(*from as u32, note));
                 for (_, id, execution, _) in done.iter().filter(|done| done.0 == number) {
                     if ledger.queries[id].sent[*execution].ended.is_none() {
                         // A few run in vain, and may not run again or not elsewhere.
@@ -123,7 +123,7 @@
                         backend,
                         Completed,
                         took_us,
-                        Some(LoadReport { held, ..LoadReport::default() }),
+                        Some(LoadReport { in_flight: held, ..LoadReport::default() }),
                     );
                 }
                 // Each of the old ones has sixteen times the traffic of a new one.
