--- a/tests/retry/stand_in.rs
+++ b/tests/retry/stand_in.rs
@@ -1,5 +1,5 @@
-//! Discovery as a fleet meets it, in virtual time: it works through calls in turn, as many a second as it can, and
-//! gives up what would wait longer than its patience. What it gives up costs it work as well.
+//! Simulates discovery and a fleet in virtual time: discovery processes calls in order at a limited rate and abandons
+//! those that would wait longer than its time limit. Abandoned calls cost it work as well.
 
 use crankpick::retry::{Failure, Retry, CONNECT_TIMEOUT_US, RESPONSE_TIMEOUT_US};
 use fastrand::Rng;
@@ -8,18 +8,18 @@
 use std::ops::Range;
 
 pub const SECOND_US: u64 = 1_000_000;
-/// A fleet's ordinary calls: each proxy's one in the time after which it would count as not asking, 10 s.
+/// A fleet's ordinary calls: one per proxy in 10 s, the time after which a proxy counts as not calling.
 pub const ORDINARY_US: f64 = 10e6;
 
-/// What discovery can do.
+/// The capacity of discovery.
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity {
-    /// Answers, in times the fleet's ordinary calls.
+    /// The rate of answers, as a multiple of the fleet's ordinary calls.
     pub ordinary: f64,
-    /// What a call that is given up costs, as a part of one that is answered.
-    pub given_up: f64,
-    /// How long a call may wait for its turn.
-    pub patience_us: u64,
+    /// The cost of an abandoned call, as a fraction of that of an answered one.
+    pub abandoned_cost: f64,
+    /// How long a call may wait before it is abandoned.
+    pub max_wait_us: u64,
 }
 
 /// What happens to the fleet at the start of a run.
@@ -29,31 +29,31 @@
     Start,
     /// All watches are reset at once.
     Reset,
-    /// All watches fall silent at once.
+    /// All watches stop sending data at once.
     Silence,
-    /// Discovery has gone down and is back after this long; calls until then are refused at once.
+    /// Discovery is down and returns after this time; until then calls are refused immediately.
     RefusedUntil(u64),
-    /// The same, and calls until then get no answer.
+    /// The same, but until then calls get no answer.
     SilentUntil(u64),
 }
 
 impl Event {
-    /// From when on discovery can be reached.
-    pub fn back_us(self) -> u64 {
+    /// When discovery becomes reachable.
+    pub fn return_us(self) -> u64 {
         match self {
-            Event::RefusedUntil(back_us) | Event::SilentUntil(back_us) => back_us,
+            Event::RefusedUntil(return_us) | Event::SilentUntil(return_us) => return_us,
             Event::Start | Event::Reset | Event::Silence => 0,
         }
     }
 }
 
-/// How a proxy waits.
-pub trait Waits: Clone {
+/// How long a proxy waits before its first call and after a failure.
+pub trait WaitPolicy: Clone {
     fn start_us(&self) -> u64;
     fn failed(&mut self, failure: Failure) -> Range<u64>;
 }
 
-impl Waits for Retry {
+impl WaitPolicy for Retry {
     fn start_us(&self) -> u64 {
         Retry::start_spread_us(self)
     }
@@ -63,11 +63,11 @@
     }
 }
 
-/// The waits that held discovery over its capacity: as short after each failure, so that three fit into 6 s.
+/// Waits that are equally short after every failure, so that three fit into 6 s; they kept discovery overloaded.
 #[derive(Clone)]
 pub struct ShortWaits;
 
-impl Waits for ShortWaits {
+impl WaitPolicy for ShortWaits {
     fn start_us(&self) -> u64 {
         0
     }
@@ -77,22 +77,22 @@
     }
 }
 
-/// What a run showed.
+/// The results of a simulation.
 #[derive(Debug)]
 pub struct Run {
-    /// When each proxy had heard, counted from when discovery could be reached; those that never did are missing.
-    pub heard_us: Vec<u64>,
-    /// Calls that came to discovery, by second.
+    /// When each proxy got its answer, from the time discovery became reachable; proxies without an answer are missing.
+    pub answered_us: Vec<u64>,
+    /// The number of calls to discovery in each second.
     pub calls: Vec<usize>,
 }
 
 impl Run {
-    pub fn part_us(&self, part: f64) -> u64 {
-        self.heard_us[((self.heard_us.len() - 1) as f64 * part) as usize]
+    pub fn quantile_us(&self, quantile: f64) -> u64 {
+        self.answered_us[((self.answered_us.len() - 1) as f64 * quantile) as usize]
     }
 
     pub fn last_us(&self) -> u64 {
-        self.heard_us.last().copied().unwrap_or(u64::MAX)
+        self.answered_us.last().copied().unwrap_or(u64::MAX)
     }
 
     pub fn all_calls(&self) -> usize {
@@ -104,10 +104,10 @@
     }
 }
 
-/// Plays `event` to a fleet until all have heard, or `end_us` is over.
-pub fn play(
+/// Simulates `event` for a fleet until all proxies have an answer, or until `end_us`.
+pub fn simulate(
     proxies: usize,
-    waits: impl Waits,
+    waits: impl WaitPolicy,
     event: Event,
     capacity: Capacity,
     end_us: u64,
@@ -116,8 +116,8 @@
     let mut rng = Rng::with_seed(seed);
     let mut fleet = vec![waits; proxies];
     let answer_us = ORDINARY_US / proxies as f64 / capacity.ordinary;
-    let back_us = event.back_us();
-    let mut run = Run { heard_us: Vec::new(), calls: vec![0; (end_us / SECOND_US) as usize + 1] };
+    let return_us = event.return_us();
+    let mut run = Run { answered_us: Vec::new(), calls: vec![0; (end_us / SECOND_US) as usize + 1] };
     let mut busy_until_us = 0.0_f64;
     let first_us = |waits: &mut _| first_call_us(waits, event, &mut rng);
     let first: Vec<u64> = fleet.iter_mut().map(first_us).collect();
@@ -126,27 +126,27 @@
     while let Some(Reverse((now_us, proxy))) = calls.pop().filter(|next| next.0 .0 < end_us) {
         run.calls[(now_us / SECOND_US) as usize] += 1;
         let wait_us = busy_until_us - now_us as f64;
-        let (failure, took_us) = if now_us < back_us {
+        let (failure, took_us) = if now_us < return_us {
             match event {
                 Event::SilentUntil(_) => (Failure::Silent, CONNECT_TIMEOUT_US.max(RESPONSE_TIMEOUT_US)),
                 _ => (Failure::Refused, 0),
             }
-        } else if wait_us > capacity.patience_us as f64 {
-            busy_until_us += answer_us * capacity.given_up;
+        } else if wait_us > capacity.max_wait_us as f64 {
+            busy_until_us += answer_us * capacity.abandoned_cost;
             (Failure::Refused, 0)
         } else {
             busy_until_us = busy_until_us.max(now_us as f64) + answer_us;
-            run.heard_us.push((busy_until_us as u64).max(now_us) - back_us);
+            run.answered_us.push((busy_until_us as u64).max(now_us) - return_us);
             continue;
         };
-        let again_us = now_us + took_us + rng.u64(fleet[proxy].failed(failure));
-        calls.push(Reverse((again_us, proxy)));
+        let next_call_us = now_us + took_us + rng.u64(fleet[proxy].failed(failure));
+        calls.push(Reverse((next_call_us, proxy)));
     }
-    run.heard_us.sort_unstable();
+    run.answered_us.sort_unstable();
     run
 }
 
-fn first_call_us(waits: &mut impl Waits, event: Event, rng: &mut Rng) -> u64 {
+fn first_call_us(waits: &mut impl WaitPolicy, event: Event, rng: &mut Rng) -> u64 {
     match event {
         Event::Start => rng.u64(0..=waits.start_us()),
         Event::Silence | Event::SilentUntil(_) => rng.u64(waits.failed(Failure::Silent)),
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Seeded random runs: after every round the record in `ledger` is held against the four rules.
+//! Seeded random runs: `ledger` checks the four rules after every round.
 
 mod ledger;
 
@@ -19,14 +19,14 @@
     let mut ledger = Ledger::new(workloads, limits);
     ledger.peers = rng.bool();
     let zone = [None, Some(0), Some(1), Some(7)][rng.usize(0..4)];
-    let only_draining_binds = rng.bool();
+    let removal_not_binding = rng.bool();
     let (crossing, probes) = (rng.f64() * 0.3, rng.bool());
     let clocks = ClockError { deadline_us: [0, 0, 400_000, 3_000_000][rng.usize(0..4)], start_us: 0 };
-    ledger.standing = Deployment {
+    ledger.deployment = Deployment {
         zone,
         cross_zone_cost: crossing,
         probes,
-        removal_not_binding: only_draining_binds,
+        removal_not_binding,
         clocks,
         ..Deployment::default()
     };
@@ -44,27 +44,27 @@
         ledger.round(&mut balancer, pause_us, |ledger, inbox| {
             if step == 0 {
                 let listed: Vec<Listed> = (0..backends).map(ready).collect();
-                ledger.tell(inbox, &listed);
+                ledger.update_list(inbox, &listed);
             } else if rng.u8(0..12) == 0 && backends > 0 {
                 let mut item = ready(rng.u32(0..backends + 2));
                 item.phase = [Phase::Ready, Phase::Ready, Phase::Terminating, Phase::Gone][rng.usize(0..4)];
                 item.since_us = [0, ledger.now_us - 500_000][rng.usize(0..2)];
-                ledger.tell(inbox, &[item]);
+                ledger.update_list(inbox, &[item]);
             }
             if rng.u8(0..10) == 0 {
                 inbox.peer_note(rng.u32(0..12), ["3!$!z", "5\"!!!", "", "3éé", "zz"][rng.usize(0..5)]);
             }
             if rng.u8(0..20) == 0 {
-                let (backend, out) = (rng.u32(0..backends + 2), rng.bool());
-                ledger.by_hand(inbox, backend, out);
+                let (backend, drained) = (rng.u32(0..backends + 2), rng.bool());
+                ledger.set_manual_drain(inbox, backend, drained);
             }
             if rng.u8(0..40) == 0 {
                 inbox.processes(rng.usize(1..3));
                 inbox.list_failed([Failure::Refused, Failure::Silent][rng.usize(0..2)]);
             }
-            // Some never return, and some that return were never asked for.
-            let odd = (rng.u8(0..20) == 0).then_some(99);
-            for backend in std::mem::take(&mut ledger.probed).into_iter().chain(odd) {
+            // Some probes never return, and some outcomes are for probes that were never sent.
+            let unsolicited = (rng.u8(0..20) == 0).then_some(99);
+            for backend in std::mem::take(&mut ledger.probed).into_iter().chain(unsolicited) {
                 let report =
                     LoadReport { in_flight: rng.bool().then(|| rng.f64() * 9.0), ..LoadReport::default() };
                 let ended = [Completed, Completed, Rejected, TimedOut, Unreachable][rng.usize(0..5)];
@@ -79,14 +79,14 @@
                 ledger.queries.get_mut(id).expect("live").answer = Some("withdrawn");
                 inbox.withdrawn(id);
             }
-            for (id, number) in ledger.out() {
+            for (id, number) in ledger.in_flight() {
                 let sent = &ledger.queries[&id].sent[number];
                 let ends = [Errored, Rejected, Unreachable, Dropped, Cancelled];
                 let ended = if rng.f64() < failing { ends[rng.usize(0..5)] } else { Completed };
                 if ledger.now_us >= sent.until_us {
-                    ledger.end(inbox, &id, number, TimedOut);
+                    ledger.finish(inbox, &id, number, TimedOut);
                 } else if rng.u8(0..12) == 0 {
-                    ledger.end(inbox, &id, number, ended);
+                    ledger.finish(inbox, &id, number, ended);
                 }
             }
             for number in 0..if step < steps { rng.usize(0..rate) } else { 0 } {
@@ -94,14 +94,14 @@
                 let ttl_us =
                     [rng.u64(0..60_000), rng.u64(200_000..1_500_000)][usize::from(rng.u8(0..10) > 0)];
                 let hint_us = hinted.then(|| rng.u64(1_000..400_000));
-                ledger.take(inbox, &id, kind, ttl_us, hint_us);
+                ledger.send_query(inbox, &id, kind, ttl_us, hint_us);
             }
         });
-        if !ledger.wrong.is_empty() {
+        if !ledger.violations.is_empty() {
             break;
         }
     }
-    ledger.wrong
+    ledger.violations
 }
 
 #[test]
--- a/tests/shapes.rs
+++ b/tests/shapes.rs
@@ -1,5 +1,5 @@
-//! A move from one shape to another: few proxies that tell one another what they send, and many that probe,
-//! each with little traffic, before the same backends.
+//! Migration between two deployments that share the same backends: a few proxies that notify each other of what they
+//! send, and many proxies with little traffic that probe.
 
 mod ledger;
 
@@ -12,13 +12,13 @@
 const NEW: usize = 10;
 const BACKENDS: u32 = 6;
 const STEP_US: u64 = 5_000;
-/// Of the queries of each kind that must be completed, at more than four fifths of what the backends can do.
-const LEAST_SHARE: f64 = 0.88;
+/// The fraction of each kind's queries that must complete, at a load above four fifths of the backends' capacity.
+const MIN_COMPLETED_SHARE: f64 = 0.88;
 
-/// Little enough that a few proxies could go past it in a window.
-const BEARS: ColdRule = ColdRule { capacity_multiple: 0.8, ..COLD };
+/// Small enough that a few proxies could exceed it in one window.
+const SMALL_COLD_BUDGET: ColdRule = ColdRule { capacity_multiple: 0.8, ..COLD };
 
-/// One core that works on what it holds in turn.
+/// A backend with one core, which executes its queue in order.
 #[derive(Default)]
 struct Server {
     queue: VecDeque<(usize, String, usize, u64)>,
@@ -36,24 +36,24 @@
         }
     }
 
-    fn ahead_us(&self) -> u64 {
-        self.queue.iter().map(|held| held.3).sum()
+    fn queued_us(&self) -> u64 {
+        self.queue.iter().map(|entry| entry.3).sum()
     }
 }
 
-struct World {
+struct Simulation {
     rng: fastrand::Rng,
     proxies: Vec<(Ledger, Balancer)>,
     servers: Vec<Server>,
-    asked: [f64; 2],
-    wrong: Vec<String>,
+    sent_count: [f64; 2],
+    violations: Vec<String>,
 }
 
 fn kind(proxy: usize) -> usize {
     usize::from(proxy >= OLD)
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, cold_share: f64) -> Self {
         let limits = ExecutionLimits { max_executions: 3, cancel: true, ..ExecutionLimits::default() };
         let proxies = (0..OLD + NEW).map(|number| {
@@ -61,19 +61,22 @@
             let workloads = repeats.map(|repeat| workload(repeat, DedupGroup::Cell, 1.0));
             let mut ledger = Ledger::new(workloads.to_vec(), limits);
             ledger.peers = kind(number) == 0;
-            // During the move each kind has half of what a cold backend bears.
-            ledger.cold = ColdRule { capacity_multiple: BEARS.capacity_multiple * cold_share, ..BEARS };
+            // During the migration each kind gets half of a cold backend's budget.
+            ledger.cold = ColdRule {
+                capacity_multiple: SMALL_COLD_BUDGET.capacity_multiple * cold_share,
+                ..SMALL_COLD_BUDGET
+            };
             let (zone, probes) = (Some(number as u32 % 2), kind(number) == 1);
-            ledger.standing = Deployment { zone, cross_zone_cost: 0.2, probes, ..Deployment::default() };
+            ledger.deployment = Deployment { zone, cross_zone_cost: 0.2, probes, ..Deployment::default() };
             let balancer = ledger.balancer(seed + number as u64, (OLD + NEW) as u32, number as u32);
             (ledger, balancer)
         });
         let servers = (0..BACKENDS).map(|_| Server::default()).collect();
         let (rng, proxies) = (fastrand::Rng::with_seed(seed), proxies.collect());
-        World { rng, proxies, servers, asked: [0.0; 2], wrong: Vec::new() }
+        Simulation { rng, proxies, servers, sent_count: [0.0; 2], violations: Vec::new() }
     }
 
-    /// One step of all proxies: what their backends, probes and peers have to say, and new queries.
+    /// One step of all proxies: delivers outcomes, probe results and peer notes, and sends new queries.
     fn step(&mut self, step: u64, list: &[Listed]) {
         let now_us = self.proxies[0].0.now_us + STEP_US;
         let mut done = Vec::new();
@@ -89,78 +92,85 @@
         }
         let notes: Vec<(usize, u32, String)> = (0..OLD)
             .flat_map(|from| {
-                let told = std::mem::take(&mut self.proxies[from].0.notes);
-                told.into_iter().map(move |(to, note)| (from, to, note))
+                let notes = std::mem::take(&mut self.proxies[from].0.notes);
+                notes.into_iter().map(move |(to, note)| (from, to, note))
             })
             .collect();
         for number in 0..self.proxies.len() {
             let (ledger, balancer) = &mut self.proxies[number];
-            let (rng, servers, asked) = (&mut self.rng, &self.servers, &mut self.asked[kind(number)]);
+            let (rng, servers, sent_count) =
+                (&mut self.rng, &self.servers, &mut self.sent_count[kind(number)]);
             ledger.round(balancer, STEP_US, |ledger, inbox| {
                 if !list.is_empty() {
-                    ledger.tell(inbox, list);
+                    ledger.update_list(inbox, list);
                 }
-                let told = notes.iter().filter(|note| note.1 as usize == number);
-                told.for_each(|(from, _, note)| inbox.peer_note(*from as u32, note));
+                let received = notes.iter().filter(|note| note.1 as usize == number);
+                received.for_each(|(from, _, note)| inbox.peer_note(*from as u32, note));
                 for (_, id, execution, _) in done.iter().filter(|done| done.0 == number) {
                     if ledger.queries[id].sent[*execution].ended.is_none() {
-                        // A few run in vain, and may not run again or not elsewhere.
+                        // A few fail after they were executed, and may not be repeated, or not on other backends.
                         let ended = if rng.u8(0..50) == 0 { Errored } else { Completed };
-                        ledger.end(inbox, id, *execution, ended);
+                        ledger.finish(inbox, id, *execution, ended);
                     }
                 }
-                for (id, execution) in ledger.out() {
+                for (id, execution) in ledger.in_flight() {
                     if ledger.queries[&id].sent[execution].until_us <= ledger.now_us {
-                        ledger.end(inbox, &id, execution, TimedOut);
+                        ledger.finish(inbox, &id, execution, TimedOut);
                     }
                 }
                 for backend in std::mem::take(&mut ledger.probed) {
                     let server = &servers[backend as usize];
-                    // Half of them hear how many queries are held, the others wait in line to be served.
-                    let held = (number % 4 < 2).then_some(server.queue.len() as f64);
-                    let took_us = 400 + if held.is_some() { 0 } else { server.ahead_us() };
+                    // Half of the proxies get the reported number of queries; for the others the probe waits in the queue.
+                    let in_flight = (number % 4 < 2).then_some(server.queue.len() as f64);
+                    let took_us = 400 + if in_flight.is_some() { 0 } else { server.queued_us() };
                     inbox.probe_outcome(
                         backend,
                         Completed,
                         took_us,
-                        Some(LoadReport { in_flight: held, ..LoadReport::default() }),
+                        Some(LoadReport { in_flight, ..LoadReport::default() }),
                     );
                 }
-                // Each of the old ones has sixteen times the traffic of a new one.
+                // Each old proxy has sixteen times the traffic of a new one.
                 if rng.f64() < [0.32, 0.02][kind(number)] {
                     let (which, work_us) = (rng.usize(0..2), rng.u64(5_000..60_000));
                     let id = format!("{step}-{work_us}");
-                    *asked += 1.0;
-                    ledger.take(inbox, &id, which, 1_500_000, Some(work_us));
+                    *sent_count += 1.0;
+                    ledger.send_query(inbox, &id, which, 1_500_000, Some(work_us));
                 }
             });
-            self.carry(number);
+            self.deliver(number);
         }
-        self.hold_cold_rule(now_us);
+        self.check_cold_rule(now_us);
     }
 
-    /// Hands what a proxy has just sent to its backends.
-    fn carry(&mut self, number: usize) {
+    /// Delivers the executions that a proxy has just sent to the backends.
+    fn deliver(&mut self, number: usize) {
         let ledger = &self.proxies[number].0;
-        for (id, execution) in ledger.out() {
+        for (id, execution) in ledger.in_flight() {
             let sent = &ledger.queries[&id].sent[execution];
             if sent.at_us == ledger.now_us {
                 let server = &mut self.servers[sent.backend as usize];
-                let work_us = id.split('-').nth(1).and_then(|work| work.parse().ok()).expect("in its id");
+                let work_us = id
+                    .split('-')
+                    .nth(1)
+                    .and_then(|work| work.parse().ok())
+                    .expect("the id contains the work");
                 server.queue.push_back((number, id, execution, work_us));
                 server.arrived.push((ledger.now_us, work_us));
             }
         }
     }
 
-    /// Rule 4, over all proxies together.
-    fn hold_cold_rule(&mut self, now_us: u64) {
+    /// Checks rule 4 for all proxies together.
+    fn check_cold_rule(&mut self, now_us: u64) {
         for (number, server) in self.servers.iter_mut().enumerate() {
             server.arrived.retain(|arrived| arrived.0 + COLD.window_us >= now_us);
             let sent_us: u64 = server.arrived.iter().map(|arrived| arrived.1).sum();
-            let bears_us = BEARS.capacity_multiple * server.capacity(now_us) * COLD.window_us as f64;
-            if server.capacity(now_us) < 1.0 && sent_us as f64 > bears_us {
-                self.wrong.push(format!("{number} is cold, bears {bears_us} and gets {sent_us}"));
+            let budget_us =
+                SMALL_COLD_BUDGET.capacity_multiple * server.capacity(now_us) * COLD.window_us as f64;
+            if server.capacity(now_us) < 1.0 && sent_us as f64 > budget_us {
+                self.violations
+                    .push(format!("{number} is cold with a budget of {budget_us} and gets {sent_us}"));
             }
         }
     }
@@ -172,40 +182,40 @@
             let of = ledger.queries.values().filter(|qry| qry.answer == Some("completed"));
             completed[kind(number)] += of.count() as f64;
         }
-        [completed[0] / self.asked[0], completed[1] / self.asked[1]]
+        [completed[0] / self.sent_count[0], completed[1] / self.sent_count[1]]
     }
 
     fn run(seed: u64, cold_share: f64) -> (Vec<String>, [f64; 2]) {
-        let mut world = World::new(seed, cold_share);
+        let mut simulation = Simulation::new(seed, cold_share);
         for step in 0..3_000 {
-            let now_us = world.proxies[0].0.now_us + STEP_US;
-            let one = ready(world.rng.u32(0..BACKENDS));
+            let now_us = simulation.proxies[0].0.now_us + STEP_US;
+            let one = ready(simulation.rng.u32(0..BACKENDS));
             let list: Vec<Listed> = match step {
                 0 => (0..BACKENDS).map(ready).collect(),
                 600 => vec![Listed { phase: Phase::Terminating, ..one }],
                 900 => (0..BACKENDS).map(ready).collect(),
                 1_200 => {
-                    let server = &mut world.servers[one.backend as usize];
+                    let server = &mut simulation.servers[one.backend as usize];
                     *server = Server { since_us: now_us, ..Server::default() };
                     vec![Listed { since_us: now_us, ..one }]
                 }
                 _ => vec![],
             };
-            world.step(step, &list);
+            simulation.step(step, &list);
         }
-        let mut wrong = std::mem::take(&mut world.wrong);
-        world.proxies.iter_mut().for_each(|(ledger, _)| wrong.append(&mut ledger.wrong));
-        (wrong, world.shares())
+        let mut violations = std::mem::take(&mut simulation.violations);
+        simulation.proxies.iter_mut().for_each(|(ledger, _)| violations.append(&mut ledger.violations));
+        (violations, simulation.shares())
     }
 }
 
 #[test]
-fn both_shapes_keep_the_rules_and_neither_starves_the_other() {
+fn both_deployments_keep_the_rules_and_neither_starves_the_other() {
     let mut means = [0.0; 2];
     for seed in 0..12 {
-        let (wrong, shares) = World::run(seed * 100, 0.5);
-        assert_eq!(wrong, Vec::<String>::new(), "seed {seed}");
+        let (violations, shares) = Simulation::run(seed * 100, 0.5);
+        assert_eq!(violations, Vec::<String>::new(), "seed {seed}");
         (0..2).for_each(|kind| means[kind] += shares[kind] / 12.0);
     }
-    assert!(means.iter().all(|mean| *mean >= LEAST_SHARE), "{means:?}");
+    assert!(means.iter().all(|mean| *mean >= MIN_COMPLETED_SHARE), "{means:?}");
 }
