--- a/src/balance.rs
+++ b/src/balance.rs
@@ -441,7 +441,7 @@
         // be rejected.
         let within_allowance =
             |backend: &Backend| !second && backend.load() < backend.max * overload_allowance;
-        let mut roomiest = |among: &[u32], takes: &dyn Fn(&Backend) -> bool| {
+        let mut best_fit = |among: &[u32], takes: &dyn Fn(&Backend) -> bool| {
             let (mut best, mut most, mut ties) = (None, f64::NEG_INFINITY, 0);
             for (id, backend) in among.iter().map(|id| (id, &self.fleet[id])).filter(|of| takes(of.1)) {
                 let (toll, ahead) = (self.placement_cost(qry, backend), backend.work() + work);
@@ -461,8 +461,8 @@
             None => self.subset.clone(),
         };
         all.retain(|id| usable(&self.fleet[id]));
-        let first = roomiest(&own, &fits).or_else(|| roomiest(&all, &fits));
-        first.or_else(|| roomiest(&own, &within_allowance)).or_else(|| roomiest(&all, &within_allowance))
+        let first = best_fit(&own, &fits).or_else(|| best_fit(&all, &fits));
+        first.or_else(|| best_fit(&own, &within_allowance)).or_else(|| best_fit(&all, &within_allowance))
     }
 
     /// Sends an execution of a query to a backend.
@@ -492,15 +492,15 @@
             let qry = &self.queries[&entry.2];
             let last_chance = self.subset.is_empty() || qry.remaining_us(now_us) <= 2 * SWEEP_INTERVAL_US;
             let (bound, on_time) = (qry.binding_execution().is_some(), qry.remaining_us(now_us) > 0);
-            let place = if full || !on_time { None } else { self.choose(&entry.2, now_us, false, writer) };
-            if let Some(id) = place {
+            let chosen = if full || !on_time { None } else { self.choose(&entry.2, now_us, false, writer) };
+            if let Some(id) = chosen {
                 self.waiting.remove(&entry);
                 self.execute(&entry.2, id, now_us, writer);
             } else if last_chance || self.queries[&entry.2].probing_done(&self.fleet) {
                 self.give_up(&entry.2, now_us, writer);
             }
             // If an unrestricted query finds no room, neither will the less important ones after it.
-            full |= place.is_none() && !bound && !self.deployment.probes;
+            full |= chosen.is_none() && !bound && !self.deployment.probes;
         }
     }
 
@@ -526,23 +526,23 @@
     /// Records an outcome and ejects a backend whose recent outcomes are bad and twice as bad as the others'.
     /// If all fail alike no single backend is at fault; at most about a third of the subset is ejected.
     fn update_health(&mut self, id: u32, success: bool, now_us: u64) {
-        let judged = self.fleet.get_mut(&id).expect("only listed backends are used");
-        judged.failures = judged.failures << 1 | u8::from(!success);
+        let backend = self.fleet.get_mut(&id).expect("only listed backends are used");
+        backend.failures = backend.failures << 1 | u8::from(!success);
         // For a backend removed from a list that isn't binding, outcomes decide: a success raises its use by
         // one step, a failure lowers it.
-        let dropped = judged.phase_out_steps > 0;
+        let dropped = backend.phase_out_steps > 0;
         if dropped {
-            judged.phase_out_steps = if success {
-                (judged.phase_out_steps + 1).min(PHASE_OUT_STEPS)
+            backend.phase_out_steps = if success {
+                (backend.phase_out_steps + 1).min(PHASE_OUT_STEPS)
             } else {
-                judged.phase_out_steps - 1
+                backend.phase_out_steps - 1
             };
         }
         if success {
-            (judged.ejection_us, judged.ejected_until_us) = (0, 0);
+            (backend.ejection_us, backend.ejected_until_us) = (0, 0);
             return;
         }
-        if dropped && judged.phase_out_steps == 0 {
+        if dropped && backend.phase_out_steps == 0 {
             return self.remove_gone();
         }
         let recent = |backend: &Backend| backend.failures.count_ones();
@@ -594,7 +594,7 @@
         // and within a retry budget that overload exhausts at once, so that further executions don't amplify
         // it. Where executions may not run concurrently, a lost one is cancelled first; an answered probe
         // shows that it was overtaken.
-        let usual = mean_or(self.subset_backends().map(|backend| backend.pace), 0.0);
+        let mean_pace = mean_or(self.subset_backends().map(|backend| backend.pace), 0.0);
         let late = |qry: &Query| {
             let (executions, may_duplicate) = (qry.executions.len(), qry.limits.may_duplicate);
             let exec = qry.executions.last().filter(|exec| exec.in_flight && !exec.cancel_sent)?;
@@ -613,7 +613,7 @@
         for (id, at, serial, may_duplicate) in self.queries.values().filter_map(late).collect::<Vec<_>>() {
             let backend = &self.fleet[&at];
             let lost = backend.executions.get(&serial).is_some_and(|exec| exec.lost);
-            let send_hedge = may_duplicate && (lost || backend.pace * 2.0 < usual);
+            let send_hedge = may_duplicate && (lost || backend.pace * 2.0 < mean_pace);
             if self.retry_budget < 1.0 {
                 break;
             } else if !may_duplicate && lost {
@@ -781,11 +781,11 @@
         if completed && b.unit_us > 0.0 {
             b.speeds.record(qry.work * b.unit_us * 1e3 / took_us.max(1) as f64, 256);
         }
-        let (judged, closed, still_in_flight) = (exec.backend, over || qry.finished, qry.has_in_flight());
+        let (backend_id, closed, still_in_flight) = (exec.backend, over || qry.finished, qry.has_in_flight());
         (qry.probe_waves, qry.probed) = (0, Vec::new());
         let no_verdict = matches!(ended, Ended::Cancelled | Ended::NotSent | Ended::Rejected | Ended::Stale);
         if !(lost || cut || no_verdict || delayed_by_buffers && ended == Ended::TimedOut) {
-            b.update_health(judged, completed, now_us);
+            b.update_health(backend_id, completed, now_us);
         }
         if backend_died {
             b.lower_execution_limit(Some(execution_count));
--- a/src/judge.rs
+++ b/src/judge.rs
@@ -23,19 +23,19 @@
     }
 
     /// Records the result of a probe: the work of others there, from the reported executions at a load of
-    /// `each` or from the time the probe waited, less this proxy's own; `silent` is the work assumed if the
-    /// probe was not answered.
+    /// `load_each` or from the time the probe waited, less this proxy's own; `silent` is the work assumed if
+    /// the probe was not answered.
     pub fn record_probe(
         &mut self,
         now_us: u64,
         waited_us: u64,
         report: LoadReport,
-        each: f64,
+        load_each: f64,
         silent: Option<f64>,
     ) {
         let (own, count) =
             self.active_executions().fold((0.0, 0.0), |sum, exec| (sum.0 + exec.work, sum.1 + 1.0));
-        let reported = report.in_flight.map(|in_flight| (in_flight - count) * each);
+        let reported = report.in_flight.map(|in_flight| (in_flight - count) * load_each);
         let others = reported.unwrap_or(waited_us as f64 * self.pace - own).max(0.0);
         self.last_probe = (now_us, silent.unwrap_or(others));
         let passed = self.probe_in_flight.take().filter(|_| silent.is_none());
@@ -44,20 +44,20 @@
     }
 
     /// Recomputes the estimates that follow from outcomes, notes and probes. `usual_pace` is the prior for
-    /// its pace, with the weight of `sure` outcomes.
+    /// its pace, with the weight of `prior_weight` outcomes.
     pub fn refresh_estimates(
         &mut self,
         now_us: u64,
-        used: f64,
+        mean_utilisation: f64,
         usual_pace: f64,
-        sure: f64,
+        prior_weight: f64,
         target_us: f64,
         quickest_us: u64,
     ) {
         self.peer_reports.retain(|report| report.until_us > now_us);
-        self.effective_utilisation = self.utilisation.unwrap_or(used);
+        self.effective_utilisation = self.utilisation.unwrap_or(mean_utilisation);
         let (count, learned) = (self.paces.len() as f64, self.median_pace.unwrap_or(usual_pace));
-        self.pace = (learned * count + usual_pace * sure) / (count + sure);
+        self.pace = (learned * count + usual_pace * prior_weight) / (count + prior_weight);
         self.probed_work =
             (self.last_probe.1 - self.pace * now_us.saturating_sub(self.last_probe.0) as f64).max(0.0);
         // A backend that hasn't answered its probe yet has at least the work that it could have done since.
--- a/src/kept.rs
+++ b/src/kept.rs
@@ -35,10 +35,10 @@
 }
 
 impl DecayingHistogram {
-    /// Records one value; once there are `most`, all counts are halved, so that newer values dominate.
-    pub fn record(&mut self, value: f64, most: u64) {
+    /// Records one value; once there are `max_count`, all counts are halved, so that newer values dominate.
+    pub fn record(&mut self, value: f64, max_count: u64) {
         self.0.saturating_record(value as u64);
-        if self.0.len() >= most {
+        if self.0.len() >= max_count {
             self.halve();
         }
     }
@@ -400,9 +400,9 @@
         self.max - self.load()
     }
 
-    /// Records the pace of one outcome; the last `most` or so count.
-    pub fn record_pace(&mut self, pace: f64, most: u64, now_us: u64) {
-        self.paces.record(pace * 1e9, most);
+    /// Records the pace of one outcome; roughly the last `max_count` count.
+    pub fn record_pace(&mut self, pace: f64, max_count: u64, now_us: u64) {
+        self.paces.record(pace * 1e9, max_count);
         self.refresh_median_pace(now_us);
     }
 
@@ -426,9 +426,9 @@
 }
 
 impl MovingAverage {
-    /// Adds one value; roughly the last `most` values count.
-    pub fn add(&mut self, value: f64, most: u32) {
-        self.count = (self.count + 1).min(most);
+    /// Adds one value; roughly the last `max_count` values count.
+    pub fn add(&mut self, value: f64, max_count: u32) {
+        self.count = (self.count + 1).min(max_count);
         self.mean += (value - self.mean) / f64::from(self.count);
     }
 }
@@ -668,11 +668,11 @@
     }
 
     /// Assigns this proxy a few random backends of its zone, and as many of other zones.
-    pub(crate) fn draw_subset(&mut self, mut ids: Vec<u32>, most: usize) {
+    pub(crate) fn draw_subset(&mut self, mut ids: Vec<u32>, max_count: usize) {
         ids.sort_by_cached_key(|id| Rng::with_seed(self.subset_seed ^ u64::from(*id)).u64(..));
         let here = |id: &u32| self.deployment.zone.is_none_or(|zone| self.fleet[id].listed.zone == zone);
         let (mut near, mut far): (Vec<u32>, Vec<u32>) = ids.into_iter().partition(here);
-        [&mut near, &mut far].into_iter().for_each(|part| part.truncate(most));
+        [&mut near, &mut far].into_iter().for_each(|part| part.truncate(max_count));
         (self.subset, self.remote_subset) = if near.is_empty() { (far, near) } else { (near, far) };
     }
 
--- a/tests/held_up.rs
+++ b/tests/held_up.rs
@@ -33,12 +33,12 @@
             let span = usize::from(now_us > 16_000_000);
             let counts = (4_000_000..12_000_000).contains(&now_us) || now_us > 16_000_000;
             if step % 2 == 0 {
-                let of = step / 2 % 3 % 2;
-                ledger.send_query(inbox, &format!("{of}-{step:06}"), of, 3_000_000, Some(20_000));
-                sent[span][of] += usize::from(counts);
+                let class = step / 2 % 3 % 2;
+                ledger.send_query(inbox, &format!("{class}-{step:06}"), class, 3_000_000, Some(20_000));
+                sent[span][class] += usize::from(counts);
             }
             for (id, number) in ledger.in_flight() {
-                let of = usize::from(id.starts_with('1'));
+                let class = usize::from(id.starts_with('1'));
                 let (at, at_us) = (
                     ledger.queries[&id].sent[number].backend as usize,
                     ledger.queries[&id].sent[number].at_us,
@@ -46,11 +46,11 @@
                 if ledger.queries[&id].answer.is_some() {
                     ledger.finish(inbox, &id, number, Ended::Cancelled);
                 } else if ledger.now_us >= at_us.max(free_us[at]) + 20_000 {
-                    let slow = of == 0 && (2_000_000..12_000_000).contains(&now_us);
+                    let slow = class == 0 && (2_000_000..12_000_000).contains(&now_us);
                     free_us[at] = ledger.now_us + if slow { 2_500_000 } else { 0 };
                     if !slow {
                         ledger.finish(inbox, &id, number, Ended::Completed);
-                        done[span][of] += usize::from(counts && ledger.now_us < at_us + 1_000_000);
+                        done[span][class] += usize::from(counts && ledger.now_us < at_us + 1_000_000);
                     }
                 } else if ledger.now_us >= ledger.queries[&id].sent[number].until_us {
                     ledger.finish(inbox, &id, number, Ended::TimedOut);
@@ -59,7 +59,7 @@
         });
     }
     assert_eq!(ledger.violations, Vec::<String>::new());
-    let fraction = |span: usize, of: usize| done[span][of] as f64 / sent[span][of].max(1) as f64;
+    let fraction = |span: usize, class: usize| done[span][class] as f64 / sent[span][class].max(1) as f64;
     [0, 1].map(|span| [fraction(span, 0), fraction(span, 1)])
 }
 
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -79,10 +79,11 @@
         ledger.round(&mut balancer, 5_000, |ledger, inbox| {
             let id = format!("q{step:04}");
             ledger.send_query(inbox, &id, 0, 900_000, Some(20_000));
-            let on_backend_2 =
-                |ledger: &Ledger, of: &(String, usize)| ledger.queries[&of.0].sent[of.1].backend == 2;
+            let on_backend_2 = |ledger: &Ledger, entry: &(String, usize)| {
+                ledger.queries[&entry.0].sent[entry.1].backend == 2
+            };
             let in_flight: Vec<_> =
-                ledger.in_flight().into_iter().filter(|of| on_backend_2(ledger, of)).collect();
+                ledger.in_flight().into_iter().filter(|entry| on_backend_2(ledger, entry)).collect();
             let dies = step >= 400 && died_us == u64::MAX && in_flight.len() >= 3;
             died_us = if dies { ledger.now_us } else { died_us };
             for (id, number) in ledger.in_flight() {
@@ -183,7 +184,7 @@
         });
     }
     let rejected = ledger.queries.values().filter(|qry| qry.answer != Some("completed")).count();
-    assert!(used[..3].iter().all(|of| *of >= 40), "{used:?}");
+    assert!(used[..3].iter().all(|count| *count >= 40), "{used:?}");
     assert!(rejected <= 12, "{rejected} of 667 were not completed");
     assert_eq!(ledger.violations, Vec::<String>::new());
 }
--- a/tests/shapes.rs
+++ b/tests/shapes.rs
@@ -179,8 +179,8 @@
     fn shares(&self) -> [f64; 2] {
         let mut completed = [0.0; 2];
         for (number, (ledger, _)) in self.proxies.iter().enumerate() {
-            let of = ledger.queries.values().filter(|qry| qry.answer == Some("completed"));
-            completed[kind(number)] += of.count() as f64;
+            let done = ledger.queries.values().filter(|qry| qry.answer == Some("completed"));
+            completed[kind(number)] += done.count() as f64;
         }
         [completed[0] / self.sent_count[0], completed[1] / self.sent_count[1]]
     }
