--- a/tests/ledger/mod.rs
+++ b/tests/ledger/mod.rs
@@ -216,7 +216,7 @@
         let Some((on, listed_us)) = self.listed.get(&backend).copied() else {
             return self.violations.push(format!("{id} was sent to {backend}, which was never listed"));
         };
-        let qry = self.queries.get_mut(id).expect("only taken queries are executed");
+        let qry = self.queries.get_mut(id).expect("only queries that were sent are executed");
         let (workload, limits) = (&qry.workload, qry.limits);
         let group = |listed: Listed| match workload.group {
             DedupGroup::All => 0,
@@ -255,7 +255,7 @@
     }
 
     fn record_answer(&mut self, id: &str, answer: &'static str) {
-        let qry = self.queries.get_mut(id).expect("only taken queries are answered");
+        let qry = self.queries.get_mut(id).expect("only queries that were sent are answered");
         let workload = &qry.workload;
         let harmless = workload.repeat == Repeat::Idempotent
             || workload.repeat == Repeat::Deduplicated && workload.group == DedupGroup::All;
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -580,7 +580,7 @@
             });
             send_query(&mut ledger, &mut balancer, "third", None);
         }
-        ledger.violations.retain(|wrong| !wrong.contains("no answer in time"));
+        ledger.violations.retain(|violation| !violation.contains("no answer in time"));
         assert_eq!(ledger.violations, Vec::<String>::new());
     }
 }
--- a/tests/unread.rs
+++ b/tests/unread.rs
@@ -113,6 +113,6 @@
         complete_except(&mut ledger, &mut balancer, &["slow-a", "slow-b"]);
     }
     assert!(used.iter().all(|used| *used >= 5), "{used:?}");
-    ledger.violations.retain(|wrong| !wrong.contains("no answer in time"));
+    ledger.violations.retain(|violation| !violation.contains("no answer in time"));
     assert_eq!(ledger.violations, Vec::<String>::new());
 }
