--- a/crates/gateway/src/connection_end.rs
+++ b/crates/gateway/src/connection_end.rs
@@ -1,4 +1,4 @@
-//! Why clients' connections end, and how often each reason came.
+//! Reasons why client connections end, and their counters.
 
 use std::error::Error;
 use std::io;
@@ -9,33 +9,33 @@
 use crate::invariant::Violation;
 use crate::shared::Shared;
 
-/// Why a client's connection ended.
+/// Why a client connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum EndReason {
-    /// The client closed it, or an answer had said that it would end.
+    /// The client closed it, or a response had announced the close.
     Closed,
-    /// It rested for longer than its client was told that it may.
+    /// It was idle for longer than the announced time.
     Idle,
-    /// It was at rest and made room for another one.
+    /// It was idle and was closed to make room for another one.
     Evicted,
-    /// It was at rest, or its request was answered, while the process shuts down.
+    /// It was idle, or its request had been answered, while the process was shutting down.
     ShuttingDown,
-    /// A request's head took too long.
+    /// A request head took too long.
     HeadTimeout,
-    /// The client took nothing of its answer for too long.
+    /// The client read nothing of its response for too long.
     WriteTimeout,
-    /// A request was refused before all of its body had come.
+    /// A request was refused before its whole body was received.
     RefusedBody,
-    /// What came was no request.
+    /// The received data was not a valid request.
     Malformed,
-    /// The answer's body broke off.
+    /// The response body was aborted.
     AnswerBrokenOff,
-    /// The client left in the midst of something, or the network failed.
+    /// The client disconnected in the middle of an exchange, or the network failed.
     Lost,
 }
 
-/// All reasons with the names that logs and metrics give them.
+/// All reasons with their names in logs and metrics.
 const REASONS: [(EndReason, &str); 10] = [
     (EndReason::Closed, "closed"),
     (EndReason::Idle, "idle"),
@@ -50,36 +50,42 @@
 ];
 
 impl EndReason {
-    /// Why a connection ended. `refused` is whether one of its requests was refused before its end, `asked_for` why the
-    /// gateway told hyper to end it.
-    pub(crate) fn of(ended: &hyper::Result<()>, refused: bool, asked_for: Option<EndReason>) -> EndReason {
+    /// Determines the reason from hyper's result. `refused` tells whether a request was refused before its
+    /// end, `requested` why the gateway told hyper to close the connection.
+    pub(crate) fn from_result(
+        ended: &hyper::Result<()>,
+        refused: bool,
+        requested: Option<EndReason>,
+    ) -> EndReason {
         match ended {
             Ok(()) if refused => EndReason::RefusedBody,
-            Ok(()) => asked_for.unwrap_or(EndReason::Closed),
-            Err(wrong) if wrong.is_parse() => EndReason::Malformed,
-            Err(wrong) if wrong.is_user() => EndReason::AnswerBrokenOff,
-            Err(wrong) if timed_out(wrong) => EndReason::WriteTimeout,
+            Ok(()) => requested.unwrap_or(EndReason::Closed),
+            Err(error) if error.is_parse() => EndReason::Malformed,
+            Err(error) if error.is_user() => EndReason::AnswerBrokenOff,
+            Err(error) if timed_out(error) => EndReason::WriteTimeout,
             Err(_) => EndReason::Lost,
         }
     }
 
-    /// What the gateway ends by its own decision has no request in hand, and has read none that it does not answer.
+    /// Checks the invariant that a connection closed by the gateway's own decision has no unanswered
+    /// request.
     pub(crate) fn check_answered(self, client: &Client, shared: &Shared) {
-        if self.is_decided_here() && client.is_unanswered() {
+        if self.is_gateway_initiated() && client.is_unanswered() {
             shared.violated(Violation::RequestUnanswered);
         }
     }
 
-    /// Whether the gateway decided it by itself, so that no request may be in hand then.
-    pub(crate) fn is_decided_here(self) -> bool {
+    /// Whether the gateway closed the connection by its own decision, in which case no request may be in
+    /// flight.
+    pub(crate) fn is_gateway_initiated(self) -> bool {
         matches!(
             self,
             EndReason::Idle | EndReason::Evicted | EndReason::ShuttingDown | EndReason::HeadTimeout
         )
     }
 
-    /// Whether whatever was answered on it was written whole.
-    pub(crate) fn is_behind_an_answer(self) -> bool {
+    /// Whether every response on the connection was written completely.
+    pub(crate) fn has_complete_response(self) -> bool {
         matches!(
             self,
             EndReason::Closed
@@ -91,27 +97,27 @@
     }
 }
 
-fn timed_out(wrong: &hyper::Error) -> bool {
-    let source = wrong.source().and_then(|source| source.downcast_ref::<io::Error>());
+fn timed_out(error: &hyper::Error) -> bool {
+    let source = error.source().and_then(|source| source.downcast_ref::<io::Error>());
     source.is_some_and(|source| source.kind() == io::ErrorKind::TimedOut)
 }
 
-/// How often connections ended for one reason, and how long they had rested then.
+/// Number of connections that ended for one reason, and how long they had been idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionEnds {
     /// The reason.
     pub reason: EndReason,
-    /// Its name in logs and metrics.
+    /// The reason's name in logs and metrics.
     pub name: &'static str,
-    /// How many ended for it since the start.
+    /// The number of connections since the start.
     pub number: u64,
-    /// The shortest rest before such an end; none where each had a request in hand.
-    pub least_rest: Option<Duration>,
-    /// The longest.
-    pub longest_rest: Option<Duration>,
+    /// The shortest idle time before such an end; `None` if all of them had a request in flight.
+    pub min_idle: Option<Duration>,
+    /// The longest idle time before such an end.
+    pub max_idle: Option<Duration>,
 }
 
-/// Counts the ends of connections by reason.
+/// Counters of connection ends by reason.
 #[derive(Debug)]
 pub(crate) struct EndCounters {
     by_reason: [EndCounter; REASONS.len()],
@@ -120,48 +126,49 @@
 #[derive(Debug)]
 struct EndCounter {
     number: AtomicU64,
-    rested: AtomicU64,
-    least_rest_us: AtomicU64,
-    longest_rest_us: AtomicU64,
+    idle_samples: AtomicU64,
+    min_idle_us: AtomicU64,
+    max_idle_us: AtomicU64,
 }
 
 impl Default for EndCounters {
     fn default() -> Self {
         let counter = || EndCounter {
             number: AtomicU64::new(0),
-            rested: AtomicU64::new(0),
-            least_rest_us: AtomicU64::new(u64::MAX),
-            longest_rest_us: AtomicU64::new(0),
+            idle_samples: AtomicU64::new(0),
+            min_idle_us: AtomicU64::new(u64::MAX),
+            max_idle_us: AtomicU64::new(0),
         };
         EndCounters { by_reason: std::array::from_fn(|_| counter()) }
     }
 }
 
 impl EndCounters {
-    /// A connection ended, having rested for so long; none where a request was in hand.
-    pub fn add(&self, reason: EndReason, rest: Option<Duration>) {
+    /// Records the end of a connection and how long it had been idle; `None` if a request was in flight.
+    pub fn add(&self, reason: EndReason, idle: Option<Duration>) {
         let counter = &self.by_reason[reason as usize];
         counter.number.fetch_add(1, Ordering::Relaxed);
-        if let Some(rest) = rest {
-            let rest_us = u64::try_from(rest.as_micros()).unwrap_or(u64::MAX);
-            counter.rested.fetch_add(1, Ordering::Relaxed);
-            counter.least_rest_us.fetch_min(rest_us, Ordering::Relaxed);
-            counter.longest_rest_us.fetch_max(rest_us, Ordering::Relaxed);
+        if let Some(idle) = idle {
+            let idle_us = u64::try_from(idle.as_micros()).unwrap_or(u64::MAX);
+            counter.idle_samples.fetch_add(1, Ordering::Relaxed);
+            counter.min_idle_us.fetch_min(idle_us, Ordering::Relaxed);
+            counter.max_idle_us.fetch_max(idle_us, Ordering::Relaxed);
         }
     }
 
-    /// What has happened at all.
+    /// All non-zero counters.
     pub fn read(&self) -> Vec<ConnectionEnds> {
         let ends = REASONS.iter().map(|(reason, name)| {
             let counter = &self.by_reason[*reason as usize];
-            let rested = counter.rested.load(Ordering::Relaxed) > 0;
-            let rest = |us: &AtomicU64| rested.then(|| Duration::from_micros(us.load(Ordering::Relaxed)));
+            let idle_samples = counter.idle_samples.load(Ordering::Relaxed) > 0;
+            let idle =
+                |us: &AtomicU64| idle_samples.then(|| Duration::from_micros(us.load(Ordering::Relaxed)));
             ConnectionEnds {
                 reason: *reason,
                 name,
                 number: counter.number.load(Ordering::Relaxed),
-                least_rest: rest(&counter.least_rest_us),
-                longest_rest: rest(&counter.longest_rest_us),
+                min_idle: idle(&counter.min_idle_us),
+                max_idle: idle(&counter.max_idle_us),
             }
         });
         ends.filter(|ends| ends.number > 0).collect()
