--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -10,8 +10,8 @@
 
 use crankpick_configuration::ClientLimits;
 use crankpick_http::framing::Framing;
-use crankpick_http::stall::Stall;
 use crankpick_http::stream::poll_write;
+use crankpick_http::write_timeout::WriteTimeout;
 use socket2::SockRef;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
@@ -174,12 +174,12 @@
 /// The byte stream of a client connection.
 pub(crate) struct ClientStream {
     client: Arc<Client>,
-    stall: Stall,
+    stall: WriteTimeout,
 }
 
 impl ClientStream {
     pub fn new(client: Arc<Client>) -> Self {
-        ClientStream { client, stall: Stall::new(WRITE_STALL_TIMEOUT) }
+        ClientStream { client, stall: WriteTimeout::new(WRITE_STALL_TIMEOUT) }
     }
 
     fn write(
@@ -188,7 +188,7 @@
         write: impl Fn(&TcpStream) -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
         let written = poll_write(&self.client.stream, cx, write);
-        let written = self.stall.wrote(cx, written);
+        let written = self.stall.check(cx, written);
         let was_pending = self.client.write_pending.swap(written.is_pending(), Ordering::Relaxed);
         if was_pending && written.is_ready() && self.client.idle_since().is_some() {
             // The idle time starts once the pending data has been written.
