--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -185,7 +185,9 @@
     let mut received = discovery.received();
     tokio::spawn(discovery.follow(prefix, list_requested));
     let balancer_for_peers = Arc::clone(&balancer);
-    tokio::spawn(peers.listen(move |peer, note| balancer_for_peers.notify(|inbox| inbox.told(peer, note))));
+    tokio::spawn(
+        peers.listen(move |peer, note| balancer_for_peers.notify(|inbox| inbox.peer_note(peer, note))),
+    );
     tokio::spawn(Arc::clone(&backends).share_with(others.clone(), executions));
     for pool in [&bodies, &answers] {
         tokio::spawn(Arc::clone(pool).share_with(others.clone()));
