--- a/crates/carry/src/handle.rs
+++ b/crates/carry/src/handle.rs
@@ -71,7 +71,7 @@
     pub async fn ask(&self, ask: Ask, patience: Duration) -> Told {
         let (told, answer) = oneshot::channel();
         let patience_us = patience.as_micros() as u64;
-        let unavailable = || Told::NotNow("the fleet thread of this proxy is busy or has failed".into());
+        let unavailable = || Told::NotNow("the fleet's part of this proxy is busy or broken".into());
         if self.calls.try_send(Call::Ask { ask, patience_us, told }).is_err() {
             return unavailable();
         }
@@ -80,7 +80,7 @@
 
     pub fn tell(&self, call: Call) {
         if self.calls.try_send(call).is_err() {
-            tracing::warn!(code = "fleet_busy", "the fleet thread's call queue is full");
+            tracing::warn!(code = "fleet_busy", "the fleet's part takes no more calls");
         }
     }
 }
--- a/crates/control-plane/src/api.rs
+++ b/crates/control-plane/src/api.rs
@@ -101,17 +101,13 @@
     // Read the body before any error response: closing a connection with unread bytes may discard the response.
     let body = read_body(body, MAX_CONFIGURATION_BYTES).await;
     let Some(if_match) = if_match(http_request) else {
-        return error_response(
-            StatusCode::BAD_REQUEST,
-            "CTL-102",
-            "the If-Match header is not a version number",
-        );
+        return error_response(StatusCode::BAD_REQUEST, "CTL-102", "If-Match names no version");
     };
     let Some(body) = body else {
         return error_response(
             StatusCode::PAYLOAD_TOO_LARGE,
             "CTL-103",
-            "the configuration is too long or truncated",
+            "the configuration is too long or was cut short",
         );
     };
     match api.send_request(CHANGE_TIMEOUT, |reply| request(if_match, body, reply)).await {
@@ -121,9 +117,7 @@
         }
         Some(ChangeResponse::Invalid(reason)) => error_response(StatusCode::BAD_REQUEST, "CTL-105", &reason),
         Some(ChangeResponse::Redirect(peer)) => redirect(peer, api.port, "/v1/config"),
-        Some(ChangeResponse::Unknown) | None => {
-            retry_later("the outcome of the change is unknown; send it again")
-        }
+        Some(ChangeResponse::Unknown) | None => retry_later("the change may be taken or not; send it again"),
     }
 }
 
@@ -155,12 +149,10 @@
     match api.send_request(CHANGE_TIMEOUT, |reply| ApiRequest::Get { reply }).await {
         Some(GetResponse::Document(document)) => json_body(StatusCode::OK, document),
         Some(GetResponse::NotFound) => {
-            error_response(StatusCode::NOT_FOUND, "CTL-106", "no configuration has been committed yet")
+            error_response(StatusCode::NOT_FOUND, "CTL-106", "no configuration was taken yet")
         }
         Some(GetResponse::Redirect(peer)) => redirect(peer, api.port, "/v1/config"),
-        Some(GetResponse::Unknown) | None => {
-            retry_later("the newest version is not known to this process; retry")
-        }
+        Some(GetResponse::Unknown) | None => retry_later("the newest version is not known here; ask again"),
     }
 }
 
@@ -175,7 +167,7 @@
         return error_response(
             StatusCode::PAYLOAD_TOO_LARGE,
             "CTL-107",
-            "the heartbeat is too long or truncated",
+            "the heartbeat is too long or was cut short",
         );
     };
     let heartbeat: Heartbeat = match serde_json::from_slice(&body) {
@@ -197,7 +189,7 @@
         Some(HeartbeatResponse::Rejected(error)) => {
             error_response(StatusCode::BAD_REQUEST, "CTL-109", &error.to_string())
         }
-        None => retry_later("the heartbeat was not acknowledged; retry"),
+        None => retry_later("not taken"),
     }
 }
 
@@ -215,17 +207,15 @@
     match api.send_request(CHANGE_TIMEOUT, request).await {
         Some(DepartureResponse::Answered(Departure::Recorded)) => json_body(StatusCode::OK, "{}"),
         Some(DepartureResponse::Answered(Departure::StillHere)) => {
-            error_response(StatusCode::CONFLICT, "CTL-112", "the machine is a voter or still reachable")
+            error_response(StatusCode::CONFLICT, "CTL-112", "the machine votes, or is heard: it isn't gone")
         }
         Some(DepartureResponse::Answered(Departure::UnknownMachine)) => {
-            error_response(StatusCode::NOT_FOUND, "CTL-113", "no machine is known at this address")
+            error_response(StatusCode::NOT_FOUND, "CTL-113", "nothing is known of a machine at this address")
         }
         Some(DepartureResponse::Redirect(head)) => {
             redirect(head, api.port, &format!("/v1/machines/{machine}"))
         }
-        Some(DepartureResponse::Unknown) | None => {
-            retry_later("the head of the chain is not known; send it again")
-        }
+        Some(DepartureResponse::Unknown) | None => retry_later("no head is known; send it again"),
     }
 }
 
@@ -233,6 +223,6 @@
 async fn get_status(api: Data<&Api>) -> Response {
     match api.send_request(HEARTBEAT_TIMEOUT, |reply| ApiRequest::Status { reply }).await {
         Some(text) => json_body(StatusCode::OK, text),
-        None => retry_later("the process is overloaded; retry"),
+        None => retry_later("too much else to do"),
     }
 }
--- a/crates/control-plane/src/operator_requests.rs
+++ b/crates/control-plane/src/operator_requests.rs
@@ -218,10 +218,7 @@
     if let Some(base) = newest.filter(|_| generation == if_match) {
         return match patch.apply(&base.command.bytes) {
             Ok(bytes) if bytes.len() > max_bytes => {
-                let text = format!(
-                    "the patched configuration would have {} bytes, more than {max_bytes}",
-                    bytes.len()
-                );
+                let text = format!("the configuration would have {} bytes, over {max_bytes}", bytes.len());
                 PatchAction::Answer(ChangeResponse::Invalid(text))
             }
             Ok(bytes) => {
--- a/crates/control-plane/src/redirect_api.rs
+++ b/crates/control-plane/src/redirect_api.rs
@@ -39,7 +39,7 @@
                 .header(header::LOCATION, location)
                 .finish()
         }
-        None => unavailable("CTL-111", "no reachable member of the control plane is known"),
+        None => unavailable("CTL-111", "no member of the control plane is known to be within reach"),
     }
 }
 
--- a/crates/fleet/src/leader.rs
+++ b/crates/fleet/src/leader.rs
@@ -270,7 +270,7 @@
     ) -> Vec<String> {
         let since = self.leaving_us.get(id).filter(|since| since.0 == machine.revision);
         let Some((_, since_us)) = since.copied() else {
-            return vec!["the leader has only just learned of it".into()];
+            return vec!["the leader has just heard of it".into()];
         };
         if machine.is == MachineKind::Proxy {
             return self.proxy_waits(id, fleet).into_iter().collect();
--- a/crates/fleet/src/node/calls.rs
+++ b/crates/fleet/src/node/calls.rs
@@ -40,7 +40,7 @@
 
     fn add(&mut self, now_us: u64, ask: Ask, patience_us: u64) -> Result<u64, String> {
         if self.pending.len() >= MAX_CALLS {
-            return Err("too many calls in progress".into());
+            return Err("too many calls in hand".into());
         }
         let number = self.next_number();
         self.pending.insert(number, Call { ask, expires_us: now_us + patience_us, retry_us: now_us });
@@ -78,7 +78,7 @@
     pub fn ask(&mut self, now_us: u64, ask: Ask, patience_us: u64) -> Result<u64, String> {
         check_ids(&ask)?;
         if matches!(&ask, Ask::Command(command) if !from_operator(command)) {
-            return Err("operators may not issue this command".into());
+            return Err("no call for an operator".into());
         }
         self.call(now_us, ask, patience_us)
     }
@@ -122,10 +122,10 @@
 fn check_ids(ask: &Ask) -> Result<(), String> {
     let Ask::Command(Command::Outs { ids, .. }) = ask else { return Ok(()) };
     if ids.is_empty() || ids.len() > MAX_IDS {
-        return Err(format!("a call takes 1 to {MAX_IDS} ids"));
+        return Err(format!("1 to {MAX_IDS} ids in a call"));
     }
     if ids.iter().any(|id| id.is_empty() || id.len() > MAX_ID_BYTES) {
-        return Err(format!("an id must have 1 to {MAX_ID_BYTES} bytes"));
+        return Err(format!("an id is 1 to {MAX_ID_BYTES} bytes"));
     }
     Ok(())
 }
--- a/crates/fleet/src/node/leadership.rs
+++ b/crates/fleet/src/node/leadership.rs
@@ -10,7 +10,7 @@
 /// The call number of a proposal without a requester: real calls are numbered from 1.
 const NO_CALL: u64 = 0;
 
-const LEADERSHIP_LOST: &str = "the leadership was lost: it may be agreed all the same";
+const LEADERSHIP_LOST: &str = "the lead was lost: it may be agreed all the same";
 
 impl Node {
     /// Follows the consensus: whether this voter leads now, and in which term.
--- a/crates/fleet/src/node/maintenance.rs
+++ b/crates/fleet/src/node/maintenance.rs
@@ -65,7 +65,7 @@
                 self.take_steps(now_us, step.into_iter().collect());
             }
             WorkStart::StaleToken(seen) => {
-                let why = format!("the maintenance system has seen token {seen}");
+                let why = format!("the maintenance system has heard of token {seen}");
                 self.event(Event::WorkNotStarted { machine: call.machine.clone(), why });
                 self.lose_duty(WORK, call.token);
             }
--- a/crates/fleet/src/node/requests.rs
+++ b/crates/fleet/src/node/requests.rs
@@ -65,14 +65,14 @@
             return;
         }
         if self.proposals.len() >= MAX_CALLS {
-            self.answer(requester, Told::NotNow("too many calls in progress".into()));
+            self.answer(requester, Told::NotNow("too much in hand".into()));
             return;
         }
         let number = self.calls.next_number();
         if self.propose(number, command) {
             self.proposals.insert(number, requester);
         } else {
-            self.answer(requester, Told::NotNow("the log accepts no proposals now".into()));
+            self.answer(requester, Told::NotNow("the log takes nothing now".into()));
         }
     }
 
--- a/crates/fleet/src/scheduler.rs
+++ b/crates/fleet/src/scheduler.rs
@@ -297,26 +297,24 @@
                     }
                     Some((proxy, _, why)) => Decision::Wait(format!("{id}: {proxy} objects, {why}")),
                     None if machine.is == MachineKind::Backend && !considered => {
-                        Decision::Wait(format!("{id}: not every proxy has considered it yet"))
+                        Decision::Wait(format!("{id}: not every proxy has looked at it yet"))
                     }
                     None => Decision::Step(Stage::Leaving, "nobody objects".into()),
                 }
             }
             Stage::Leaving => match sight.waits.get(id) {
                 Some(none) if none.is_empty() => {
-                    Decision::Step(Stage::Out, "no proxy sends to it or has queries in progress there".into())
+                    Decision::Step(Stage::Out, "nothing new and nothing in hand at any proxy".into())
                 }
                 Some(all) if hangs => {
                     Decision::Step(Stage::Proposed, format!("put back: {}", all.join(", ")))
                 }
                 Some(all) => Decision::Wait(format!("{id}: {}", all.join(", "))),
-                None => Decision::Wait(format!("{id}: the leader does not know of it yet")),
+                None => Decision::Wait(format!("{id}: the leader has yet to hear of it")),
             },
-            Stage::Out => Decision::Step(Stage::Beginning, "work is about to start".into()),
+            Stage::Out => Decision::Step(Stage::Beginning, "about to be begun".into()),
             Stage::Beginning => match &plan.maintenance {
-                None => {
-                    Decision::Step(Stage::Working, "started: the plan names no maintenance system".into())
-                }
+                None => Decision::Step(Stage::Working, "begun: no maintenance system is named".into()),
                 Some(at) => Decision::StartWork(WorkStartRequest {
                     id: start_id(name, plan, id, machine),
                     plan: name.to_owned(),
@@ -331,23 +329,23 @@
             Stage::Working => Decision::Wait(format!("{id}: under work")),
             Stage::Failed => Decision::Wait(format!("{id}: its work failed; it stays out until done")),
             Stage::Mended if projected.count().cold >= bounds.most_cold => {
-                Decision::Wait(format!("{id}: the maximum number of machines is cold"))
+                Decision::Wait(format!("{id}: as many are cold as may be"))
             }
-            Stage::Mended => Decision::Step(Stage::Back, "may return to service".into()),
+            Stage::Mended => Decision::Step(Stage::Back, "its turn to come back".into()),
             Stage::Back => {
                 let behind = sight.behind.get(id).copied().unwrap_or(0);
                 if behind > 0 {
-                    return Decision::Wait(format!("{id}: not every proxy has put it back yet"));
+                    return Decision::Wait(format!("{id}: not every proxy uses it again yet"));
                 }
                 if sight.backends.get(id).is_some_and(BackendSummary::is_lost) {
                     return Decision::Wait(format!("{id}: it is back and not reached"));
                 }
                 match elapsed_us >= bounds.warm_us {
-                    true => Decision::Step(Stage::Warm, "its warm-up time is over".into()),
+                    true => Decision::Step(Stage::Warm, "its time to warm up is over".into()),
                     false => Decision::Wait(format!("{id}: cold")),
                 }
             }
-            Stage::Warm => Decision::Step(Stage::Done, "maintenance complete".into()),
+            Stage::Warm => Decision::Step(Stage::Done, "as before its work".into()),
             Stage::Proposed | Stage::Done | Stage::Cancelled => Decision::Wait(String::new()),
         }
     }
@@ -423,7 +421,7 @@
         }
         let out = projected.count().all;
         if capacity.dead > 0 && out + capacity.dead + 1 > plan.bounds.most_out {
-            return Err(format!("{} backends are unreachable besides those out", capacity.dead));
+            return Err(format!("{} backends are dead beside those out", capacity.dead));
         }
         if machine.votes {
             let silent = input.sight.silent.iter().filter(|name| input.voters.contains(name)).count() as u32;
@@ -434,7 +432,7 @@
         }
         // Out, unreachable or unknown to all proxies: taking it out removes no capacity.
         let Some(backend) = backend.filter(|backend| !backend.is_lost() && !input.outs.contains(id)) else {
-            return Ok("no proxy sends to it".into());
+            return Ok("nothing is sent there".into());
         };
         if capacity.last_of_cell(backend) && !plan.bounds.last_of_cell {
             return Err(format!(
@@ -488,7 +486,7 @@
                 &call.machine,
                 machine,
                 Stage::Working,
-                "the maintenance system has started the work",
+                "the maintenance system has begun",
             )
         })
     }
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -181,7 +181,7 @@
                 let current = self.is_current(&to);
                 let duty = self.duties.entry(duty).or_default();
                 if token != duty.token + 1 || !current {
-                    return Outcome::Refused(format!("token {token} does not follow {}", duty.token));
+                    return Outcome::Refused(format!("token {token} after {}", duty.token));
                 }
                 (duty.token, duty.owner) = (token, Some(to));
                 Outcome::Granted
@@ -217,7 +217,7 @@
         let before = self.published();
         if let Order::Forget { name } = order {
             if self.absent.remove(name).is_none() {
-                return Outcome::Refused(format!("{name:?} is not among the departed proxies"));
+                return Outcome::Refused(format!("{name:?} is not among those that left"));
             }
         }
         match self.work.apply_order(order) {
@@ -238,7 +238,7 @@
 
     fn set_outs(&mut self, out: bool, ids: Vec<String>) -> Outcome {
         if out && self.outs.len() + ids.len() > MAX_OUTS {
-            return Outcome::Refused(format!("more than {MAX_OUTS} backends would be out"));
+            return Outcome::Refused(format!("more than {MAX_OUTS} would be out"));
         }
         let before = self.published();
         for id in ids {
--- a/crates/fleet/src/work.rs
+++ b/crates/fleet/src/work.rs
@@ -376,7 +376,7 @@
             return Err(format!("{} is {} by now", step.machine, machine.stage.name()));
         }
         if !step.from.can_become(step.to) {
-            return Err(format!("no transition from {} to {}", step.from.name(), step.to.name()));
+            return Err(format!("from {} to {}", step.from.name(), step.to.name()));
         }
         let goes_out = matches!(step.to, Stage::Agreed | Stage::Leaving | Stage::Beginning);
         if goes_out && (plan.paused || plan.cancelled) {
@@ -431,7 +431,7 @@
                     (Stage::Failed, false) => return Ok(()),
                     (Stage::Beginning, _) => {
                         return Err(format!(
-                            "{machine} is beginning: it is not known yet whether its work has started"
+                            "{machine} is beginning: whether its work has begun is not known yet"
                         ))
                     }
                     _ => return Err(format!("{machine} is not under work: it is {}", stage.name())),
@@ -451,12 +451,12 @@
             }
         }
         if plan.machines.is_empty() || plan.machines.len() > MAX_MACHINES {
-            return Err(format!("a plan takes 1 to {MAX_MACHINES} machines"));
+            return Err(format!("1 to {MAX_MACHINES} machines in a plan"));
         }
         let too_long =
             plan.machines.keys().chain([&name.to_owned(), &plan.why]).any(|text| text.len() > MAX_TEXT_BYTES);
         if too_long || plan.maintenance.as_ref().is_some_and(|text| text.len() > MAX_TEXT_BYTES) {
-            return Err(format!("a name, reason or address exceeds {MAX_TEXT_BYTES} bytes"));
+            return Err(format!("a text of more than {MAX_TEXT_BYTES} bytes"));
         }
         for machine in plan.machines.keys() {
             // Refused rather than merged: a machine's bounds and its work must come from one plan.
@@ -469,7 +469,7 @@
             let oldest = finished.min_by_key(|(_, plan)| plan.number).map(|(name, _)| name.clone());
             match oldest {
                 Some(oldest) => self.plans.remove(&oldest),
-                None => return Err(format!("{MAX_PLANS} plans are open, which is the maximum")),
+                None => return Err(format!("{MAX_PLANS} plans are open")),
             };
         }
         (self.taken, self.revision) = (self.taken + 1, self.revision + 1);
