--- a/crates/control-plane/tests/unit/settings_watch.rs
+++ b/crates/control-plane/tests/unit/settings_watch.rs
@@ -1,4 +1,4 @@
-//! A change of the seeds is reported once, and an invalid settings_with_seeds is ignored.
+//! A change of the seeds is reported once, and an invalid settings file is ignored.
 
 use super::*;
 
--- a/crates/proxy/src/connect.rs
+++ b/crates/proxy/src/connect.rs
@@ -1,6 +1,6 @@
 //! Backend connections for the hyper-util client. Each tracks what was written since it was last idle, is
 //! checked before reuse, closes itself before the backend would or when a response doesn't end, and writes one
-//! log line when it idle_timer.
+//! log line when it ends.
 
 use std::collections::BTreeMap;
 use std::future::Future;
